--- a/bench/backlogs.py
+++ b/bench/backlogs.py
@@ -19,7 +19,7 @@
 from ramppost.gateway.datagrams import Datagrams
 from ramppost.gateway.metrics import Metrics
 from ramppost.gateway.model import Upstream
-from ramppost.policy.backlog import Reading
+from ramppost.policy.backlog import PendingPrompt
 from ramppost.policy.placement import PrefillRates
 from ramppost.policy.relays import Peers
 from ramppost.schema.messages import BacklogAsk, BacklogOver, BacklogSent, BacklogView, PeerDatagram
@@ -51,7 +51,7 @@
     _print("question and answer", began, _question_bytes())
     began = time.process_time()
     for number in range(TIMES):
-        reading = Reading(clock.now(), 0.4, 1, QUESTION.model, PARTS)
+        reading = PendingPrompt(clock.now(), 0.4, 1, QUESTION.model, PARTS)
         sides["asker"].sent(ENGINES[0], f"9c41d07b-{number}", reading)
         sides["asker"].over(ENGINES[0], f"9c41d07b-{number}", began=True)
         await curio.sleep(0)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -23,7 +23,7 @@
 
 from ramppost import clock
 from ramppost.confsync import ConfState
-from ramppost.policy.choice import Seen, order
+from ramppost.policy.choice import AgentView, rank_agents
 from ramppost.policy.claims import Shard
 from ramppost.policy.permissions import workspace_of
 from ramppost.policy.session import Session, mint, read_session
@@ -291,7 +291,7 @@
     adopt_small = timed(lambda: ConfState().adopt(decode_doc(raw_small), "x"), 20)
     adopt_large = timed(lambda: ConfState().adopt(decode_doc(raw_large), "x"), 20)
     rng = random.Random(1)
-    seen = [Seen(f"10.0.0.{i}:1", "bole", 1, 2, 0.0, 8) for i in range(26)]
+    seen = [AgentView(f"10.0.0.{i}:1", "bole", 1, 2, 0.0, 8) for i in range(26)]
     return [
         Slope("session_cpu", timed(lambda: mint(keys, session), 500), "µs to mint", how),
         Slope(
@@ -305,7 +305,10 @@
             "config_entry_cpu", (adopt_large - adopt_small) / 200, "µs to adopt, per workspace", how
         ),
         Slope(
-            "choice_cpu", timed(lambda: order(seen, 1.0, "bole", "p", rng), 200), "µs of 26", how
+            "choice_cpu",
+            timed(lambda: rank_agents(seen, 1.0, "bole", "p", rng), 200),
+            "µs of 26",
+            how,
         ),
         Slope(
             "token_cpu",
--- a/ramppost/agent/state.py
+++ b/ramppost/agent/state.py
@@ -8,7 +8,7 @@
 from ramppost.ledger import Filer
 from ramppost.platform.objects import Client
 from ramppost.policy.admission import Admission
-from ramppost.policy.pace import Pace, Timing
+from ramppost.policy.pace import Timing, TimingBaseline
 from ramppost.policy.permissions import ModelVersion, model_named, version_state
 from ramppost.policy.rollout import Counted, Counts, counted_as, plus
 from ramppost.schema.messages import BillLine, Load, VersionCount
@@ -35,7 +35,7 @@
         self.filer = Filer(self.client, self.name, 1.0, self._filed)
         self.witness: dict[str, tuple[float, BillLine]] = {}
         self.counts: dict[Counted, Counts] = {}
-        self.paces: dict[str, Pace] = {}
+        self.paces: dict[str, TimingBaseline] = {}
         self.versions: list[str] = []
         self.up = False
         self.leaving = False
@@ -72,10 +72,10 @@
 
     def slow(self, mv: ModelVersion, seen: Timing) -> bool:
         """Whether an answer was slow for its model; the stable version's say what is usual."""
-        pace = self.paces.setdefault(mv.model, Pace())
-        slow = pace.slow(seen)
+        pace = self.paces.setdefault(mv.model, TimingBaseline())
+        slow = pace.is_slow(seen)
         if self.conf.doc is not None and version_state(self.conf.doc, mv) == "stable":
-            pace.note(seen)
+            pace.record(seen)
         return slow
 
     def count_list(self) -> list[VersionCount]:
--- a/ramppost/entry/dispatch.py
+++ b/ramppost/entry/dispatch.py
@@ -106,7 +106,7 @@
     up.own += 1
     out = await _send(entry, up, msg)
     if isinstance(out, Unknown):
-        up.health.failed(clock.now())
+        up.health.record_failure(clock.now())
         logger.bind(request=msg["request_id"]).warning("attempt in doubt: {}", out.reason)
         out = await resolve(entry, up.addr, msg["agent"], msg["attempt"], 0, _mv(msg))
     if isinstance(out, Running):
@@ -125,7 +125,7 @@
     if isinstance(stream, CallFailed):
         if stream.sent:
             return Unknown(stream.reason)
-        up.health.failed(clock.now())
+        up.health.record_failure(clock.now())
         return NotRun("unreachable", 0.0)
     return await _read_head(entry, stream, up.addr, msg["attempt"], 0, _mv(msg))
 
--- a/ramppost/entry/obtain.py
+++ b/ramppost/entry/obtain.py
@@ -29,7 +29,7 @@
 
     `stage` counts within a cascade; `turn` is the first number free for attempts.
     """
-    entry.retries.tried()
+    entry.retries.record_try()
     if ask.key:
         return await obtain_keyed(entry, ask, mv, stage, deadline)
     ups = entry.ups.choose(mv, ask.service, ask.prefix)
--- a/ramppost/entry/upstreams.py
+++ b/ramppost/entry/upstreams.py
@@ -15,7 +15,7 @@
 
 from ramppost import clock, ids
 from ramppost.platform.boxes import Boxes, box_list
-from ramppost.policy.choice import Health, Seen, order, subset
+from ramppost.policy.choice import AgentView, Ejection, choose_subset, rank_agents
 from ramppost.policy.permissions import ModelVersion
 from ramppost.policy.rollout import Counted, Counts, plus
 from ramppost.policy.routing import unit
@@ -56,7 +56,7 @@
         self.slots = 1
         self.heard_at = 0.0
         self.rev = 0
-        self.health = Health()
+        self.health = Ejection()
         self.counts: dict[Counted, Counts] = {}
         self.past: dict[Counted, Counts] = {}
         self.polling = False
@@ -68,7 +68,7 @@
             bool(self.ticket)
             and self.alive
             and not self.listed_leaving
-            and not self.health.ejected(now)
+            and not self.health.is_ejected(now)
         )
 
     def heard(self, ticket: str, load: Load, counts: list[VersionCount], rev: int) -> None:
@@ -82,14 +82,14 @@
         self.slots = load["slots"]
         self.heard_at = clock.now()
         self.rev = rev
-        self.health.answered()
+        self.health.record_success()
         for item in counts:
             what = Counted(ModelVersion(item["model"], item["version"]), item["since"])
             self.counts[what] = Counts(item["ok"], item["bad"], item["slow"])
 
-    def seen(self) -> Seen:
+    def seen(self) -> AgentView:
         """For the choice among agents."""
-        return Seen(self.addr, self.hall, self.own, self.reported, self.heard_at, self.slots)
+        return AgentView(self.addr, self.hall, self.own, self.reported, self.heard_at, self.slots)
 
 
 class Upstreams:
@@ -123,7 +123,7 @@
         live = {b["addr"] for b in boxes if b["role"] == "entry" and b["state"] == "live"}
         self.live = live | {ids.address(self.me)}
         self._ordered = {}
-        chosen = {box["addr"]: box for box in subset(self.node, boxes, self.size)}
+        chosen = {box["addr"]: box for box in choose_subset(self.node, boxes, self.size)}
         for addr, box in chosen.items():
             up = self.table.setdefault(addr, Upstream(addr, box["hall"]))
             up.hall = box["hall"]
@@ -157,7 +157,7 @@
         """Agents to try, best first."""
         found = self.candidates(mv, service)
         now = clock.now()
-        addrs = order([u.seen() for u in found], now, self.hall, prefix, self.rng)
+        addrs = rank_agents([u.seen() for u in found], now, self.hall, prefix, self.rng)
         return [self.table[addr] for addr in addrs]
 
     def listing(self) -> list[UpstreamLine]:
@@ -231,7 +231,7 @@
         up.polling = False
         status = BadMessage("") if isinstance(got, CallFailed) else decode(got.body, AgentStatus)
         if isinstance(status, BadMessage):
-            up.health.failed(clock.now())
+            up.health.record_failure(clock.now())
             if up.alive and isinstance(got, CallFailed) and not got.sent:
                 logger.info("agent {} does not answer", up.addr)
                 up.alive = False
--- a/ramppost/gateway/attempt.py
+++ b/ramppost/gateway/attempt.py
@@ -19,7 +19,7 @@
 from ramppost.gateway.pick import Chosen, level
 from ramppost.gateway.state import Gateway
 from ramppost.platform.headers import AnswerHead, Send, upstream_head
-from ramppost.policy.backlog import Reading
+from ramppost.policy.backlog import PendingPrompt
 
 PATIENCE_OF_OBJECTIVE: Final = 0.4
 """Part of the objective after which a silent upstream is given up: time for another is left."""
@@ -69,7 +69,7 @@
     reading = _reading(gw, job, chosen, model, now)
     key = f"{job.req.attempt_id[:KEY_CHARS]}-{next(_numbers)}"
     if reading is not None:
-        gw.rates.sent(reading.read_s)
+        gw.rates.record_sent(reading.read_s)
         gw.backlogs.sent(upstream, key, reading)
     got: Running | Refused | NotSent | Broken = Broken("cancelled")
     try:
@@ -93,17 +93,17 @@
         await running.exchange.abort()
 
 
-def _reading(gw: Gateway, job: Job, chosen: Chosen, model: str, now: float) -> Reading | None:
+def _reading(gw: Gateway, job: Job, chosen: Chosen, model: str, now: float) -> PendingPrompt | None:
     """What other gateways are told of a prompt that is sent; None where there is none."""
     prompt = job.req.prompt
     if chosen.service.engine is None or prompt is None:
         return None
     urgency = level(gw, job, chosen.prefill_s)
-    return Reading(now, chosen.prefill_s, urgency, model, prompt.part_names)
+    return PendingPrompt(now, chosen.prefill_s, urgency, model, prompt.part_names)
 
 
 async def _send_and_wait(
-    gw: Gateway, job: Job, chosen: Chosen, model: str, work: OwnWork, reading: Reading | None
+    gw: Gateway, job: Job, chosen: Chosen, model: str, work: OwnWork, reading: PendingPrompt | None
 ) -> Running | Refused | NotSent | Broken:
     urgency = reading.level if reading is not None else None
 
@@ -183,7 +183,7 @@
             return got
         except curio.TaskTimeout:
             heard_at = gw.links.heard.get(chosen.upstream.key, float("-inf"))
-            affordable = gw.budget_of(chosen.service.name).left(clock.now()) >= 1
+            affordable = gw.budget_of(chosen.service.name).available(clock.now()) >= 1
             if heard_at < since and affordable and chosen.candidates > 1:
                 return Broken(f"silent for {patience_s:.2f} s")
             since = clock.now()
@@ -194,8 +194,8 @@
     now = clock.now()
     read = chosen.prefill_s / gw.rates.rate_s(model)
     queued_s = chosen.first_s - chosen.prefill_s
-    gw.pressure.waited(first_s - chosen.prefill_s, now)
-    gw.rates.saw(model, read, max(0.0, first_s - queued_s))
+    gw.pressure.record_wait(first_s - chosen.prefill_s, now)
+    gw.rates.observe(model, read, max(0.0, first_s - queued_s))
 
 
 def _note(
@@ -214,7 +214,7 @@
         if got.head.status < 500 and job.req.prompt is not None:
             _learn_engine(gw, chosen, model, got.first_s)
         if chosen.service.engine is None:
-            gw.suspicion_of(chosen.upstream.key).took(took_s, now)
+            gw.suspicion_of(chosen.upstream.key).record_latency(took_s, now)
     elif isinstance(got, Refused):
         outcome = f"refused with {got.status}"
         # An entry may name an upstream that is no more until it lapses: taken for an idle one, it
@@ -226,7 +226,7 @@
         if failed and outcome != "cancelled":
             gw.assume_warming_up(chosen.upstream, now)
     if outcome != "cancelled":
-        gw.suspicion_of(chosen.upstream.key).note(failed, now)
+        gw.suspicion_of(chosen.upstream.key).record_outcome(failed, now)
     if job.req.session:
         version = chosen.upstream.version
         gw.rollouts.pins.ran(chosen.service.name, job.req.session, version, now)
--- a/ramppost/gateway/backlogs.py
+++ b/ramppost/gateway/backlogs.py
@@ -24,7 +24,7 @@
 from ramppost.gateway.early import address
 from ramppost.gateway.metrics import Metrics
 from ramppost.gateway.model import Upstream
-from ramppost.policy.backlog import Backlog, Reading
+from ramppost.policy.backlog import Backlog, PendingPrompt
 from ramppost.policy.keepers import keeper_of
 from ramppost.policy.placement import PrefillRates
 from ramppost.policy.relays import Peers
@@ -126,12 +126,12 @@
         backlog = self._backlogs.get(engine)
         if backlog is None:
             return NOTHING_KNOWN
-        kept = backlog.kept_parts(question.model, question.parts, now)
+        kept = backlog.cached_parts(question.model, question.parts, now)
         return Told(backlog.ahead_s(question.level, now), kept, False)
 
-    def sent(self, engine: Upstream, key: str, reading: Reading) -> None:
+    def sent(self, engine: Upstream, key: str, reading: PendingPrompt) -> None:
         """A prompt is on its way to an engine."""
-        self._backlog(engine.key).sent(key, reading)
+        self._backlog(engine.key).add(key, reading)
         note = BacklogSent(
             key=key,
             engine=engine.key,
@@ -231,7 +231,7 @@
             id=ask["id"],
             ahead_ms=[round(view.ahead_s * 1000) for view in views],
             kept=[view.kept for view in views],
-            token_ns=round(self._rates.learned_s(ask["model"]) * 1e9),
+            token_ns=round(self._rates.own_rate_s(ask["model"]) * 1e9),
         )
 
     async def _answered(self, view: BacklogView) -> None:
@@ -241,28 +241,28 @@
             return
         for engine, ahead_ms, kept in zip(engines, view["ahead_ms"], view["kept"], strict=False):
             asked.views[engine] = Told(ahead_ms / 1000, kept, True)
-        self._rates.heard(asked.model, view["token_ns"] / 1e9)
+        self._rates.accept_peer_rate(asked.model, view["token_ns"] / 1e9)
         if not asked.engines:
             await asked.answered.set()
 
     # --- backlogs
 
     def _note_sent(self, note: BacklogSent) -> None:
-        reading = Reading(
+        reading = PendingPrompt(
             clock.now(),
             note["read_ms"] / 1000,
             note["level"],
             note["model"],
             tuple(note["parts"]),
         )
-        self._backlog(note["engine"]).sent(note["key"], reading)
+        self._backlog(note["engine"]).add(note["key"], reading)
 
     def _note_over(self, engine: str, key: str, began: bool) -> None:
         backlog = self._backlog(engine)
         if began:
-            backlog.began(key, clock.now())
+            backlog.record_first_token(key, clock.now())
         else:
-            backlog.dropped(key, clock.now())
+            backlog.remove(key, clock.now())
 
     def _backlog(self, engine: str) -> Backlog:
         backlog = self._backlogs.setdefault(engine, Backlog())
--- a/ramppost/gateway/departures.py
+++ b/ramppost/gateway/departures.py
@@ -14,7 +14,7 @@
 from ramppost import clock
 from ramppost.gateway.early import address
 from ramppost.gateway.state import Gateway
-from ramppost.policy.departures import come_back_s
+from ramppost.policy.departures import retry_delay_s
 from ramppost.schema.messages import LeavingNote, PeerDatagram
 
 TELL_EVERY_S: Final = 1.0
@@ -29,7 +29,7 @@
     while True:
         back_s = max(0.0, gw.back_at - clock.now())
         note = LeavingNote(name=gw.cfg["name"], back_ms=round(back_s * 1000))
-        for name in gw.peers.near():
+        for name in gw.peers.local_peers():
             gw.datagrams.send(address(gw.peers.addrs[name]), PeerDatagram(leaving=note))
         await curio.sleep(TELL_EVERY_S)
 
@@ -38,13 +38,13 @@
     """Another gateway is stopping."""
     now = clock.now()
     back_s = note["back_ms"] / 1000
-    if not gw.peers.leaving(note["name"], now):
+    if not gw.peers.is_stopping(note["name"], now):
         logger.info("gateway leaves", peer=note["name"], back_s=back_s)
-    gw.peers.leaves(note["name"], now + back_s)
+    gw.peers.mark_stopping(note["name"], now + back_s)
 
 
 def retry_after_s(gw: Gateway) -> float:
     """When a caller that is turned away because of the stop is to come back."""
     now = clock.now()
-    others = {name: gw.peers.back_at(name, now) for name in gw.peers.near()}
-    return come_back_s(now, gw.back_at, others)
+    others = {name: gw.peers.back_at(name, now) for name in gw.peers.local_peers()}
+    return retry_delay_s(now, gw.back_at, others)
--- a/ramppost/gateway/fatal.py
+++ b/ramppost/gateway/fatal.py
@@ -21,7 +21,13 @@
 from ramppost.gateway.early import address
 from ramppost.gateway.links import Exchange
 from ramppost.gateway.metrics import Metrics
-from ramppost.policy.fatal import ENDS_CERTAIN, ENDS_KEPT, JUST_BEGUN, MOST_FATAL, Docket
+from ramppost.policy.fatal import (
+    FATAL_START_ENDS,
+    JUST_BEGUN,
+    MAX_FATAL,
+    MIN_STORED_ENDS,
+    CrashHistory,
+)
 from ramppost.policy.relays import Peers
 from ramppost.schema.messages import (
     FatalRequest,
@@ -48,7 +54,7 @@
         self._peers = peers
         self._datagrams = datagrams
         self._metrics = metrics
-        self.docket = Docket()
+        self.docket = CrashHistory()
         self.agreed: dict[str, FatalRequest] = {}
         """What stands in the document, by fingerprint."""
         self.unwritten: dict[str, FatalRequest] = {}
@@ -113,7 +119,7 @@
 
     def release(self) -> None:
         """All may run again, whatever was seen until now."""
-        self.docket = Docket()
+        self.docket = CrashHistory()
         self.agreed = {}
         self.unwritten = {}
         self.cleared = set()
@@ -121,7 +127,7 @@
     def agree(self, requests: list[FatalRequest]) -> None:
         """These stand in the document, and no others."""
         before, self.agreed = self.agreed, {}
-        for one in requests[-MOST_FATAL:]:
+        for one in requests[-MAX_FATAL:]:
             self.agreed[one["fingerprint"]] = one
         self.cleared &= set(self.agreed)
         for fingerprint, one in self.agreed.items():
@@ -143,12 +149,12 @@
 
     def _take_over(self, one: FatalRequest) -> None:
         """Count what other gateways saw, which may be gone since."""
-        for upstream in one["upstreams"][:ENDS_CERTAIN]:
+        for upstream in one["upstreams"][:FATAL_START_ENDS]:
             self._note(upstream, one["fingerprint"], JUST_BEGUN)
 
     def _clear(self, fingerprint: str) -> bool:
         """Nothing speaks against a request any more; whether something did."""
-        if not self.docket.answered(fingerprint, clock.now()):
+        if not self.docket.record_answer(fingerprint, clock.now()):
             return False
         logger.info("request cleared", fingerprint=fingerprint)
         return True
@@ -177,23 +183,23 @@
             self._tell_all(PeerDatagram(ended=note))
 
     def _tell_all(self, msg: PeerDatagram) -> None:
-        for name in self._peers.judges(clock.now()):
+        for name in self._peers.evidence_collectors(clock.now()):
             self._datagrams.send(address(self._peers.addrs[name]), msg)
 
     # --- judging
 
     def _note(self, upstream: str, fingerprint: str, sign: int) -> None:
         now = clock.now()
-        self.docket.ended(upstream, fingerprint, sign, now)
+        self.docket.record_end(upstream, fingerprint, sign, now)
         self._judge(fingerprint, now)
 
     def _judge(self, fingerprint: str, now: float) -> None:
         """Find out whether a request is certain by now to end upstreams, or close to it."""
         if fingerprint in self.docket.fatal or not self.docket.is_suspect(fingerprint):
             return
-        if not self.docket.is_fatal(fingerprint, now, self._peers.hears_all(now)):
-            ends = self.docket.begun_ends(fingerprint, now)
-            if len(ends) >= ENDS_KEPT:
+        if not self.docket.is_fatal(fingerprint, now, self._peers.has_all_evidence(now)):
+            ends = self.docket.start_ends(fingerprint, now)
+            if len(ends) >= MIN_STORED_ENDS:
                 self._keep(fingerprint, ends, certain=False)
             return
         ends = self.docket.fatal[fingerprint]
--- a/ramppost/gateway/fatal_doc.py
+++ b/ramppost/gateway/fatal_doc.py
@@ -28,7 +28,7 @@
     read,
     replace,
 )
-from ramppost.policy.fatal import MOST_FATAL
+from ramppost.policy.fatal import MAX_FATAL
 from ramppost.policy.routing import unit
 from ramppost.schema.messages import FatalDoc
 
@@ -68,7 +68,7 @@
         await curio.sleep(LOOK_S)
         if not _differs(gw):
             continue
-        await curio.sleep(gw.peers.write_after_s(SPREAD_S, place, clock.now()))
+        await curio.sleep(gw.peers.write_delay_s(SPREAD_S, place, clock.now()))
         while _differs(gw) and not await _write(gw):
             await curio.sleep(RETRY_S)
 
@@ -125,5 +125,5 @@
         if now - one["at"] < KEPT_S and fingerprint not in fatal.cleared
     }
     together = [*(young | fatal.unwritten).values()]
-    newest = sorted(together, key=lambda one: (one["certain"], one["at"]))[-MOST_FATAL:]
+    newest = sorted(together, key=lambda one: (one["certain"], one["at"]))[-MAX_FATAL:]
     return FatalDoc(requests=newest)
--- a/ramppost/gateway/models.py
+++ b/ramppost/gateway/models.py
@@ -7,7 +7,7 @@
 
 from ramppost.gateway.model import Route
 from ramppost.policy.policydoc import models_of
-from ramppost.policy.pressure import threshold_under
+from ramppost.policy.pressure import relaxed_threshold
 from ramppost.policy.routing import DEFAULT_THRESHOLD, cascade_stops
 from ramppost.schema.config import Policy
 
@@ -27,7 +27,7 @@
     the larger model takes `read_s` seconds to read."""
     if policy["kind"] != "learned":
         return policy
-    threshold = threshold_under(policy.get("threshold", DEFAULT_THRESHOLD), shortage, read_s)
+    threshold = relaxed_threshold(policy.get("threshold", DEFAULT_THRESHOLD), shortage, read_s)
     return Policy(name=policy["name"], kind="cascade", models=policy["models"], threshold=threshold)
 
 
--- a/ramppost/gateway/passing.py
+++ b/ramppost/gateway/passing.py
@@ -18,7 +18,7 @@
 from ramppost.gateway.links import Broken, End
 from ramppost.gateway.state import Gateway
 from ramppost.platform.headers import Headers
-from ramppost.policy.fatal import Course
+from ramppost.policy.fatal import ObservedRun
 
 HELD_BYTES: Final = 262144
 """A whole answer up to this size is read before it is passed on."""
@@ -38,7 +38,7 @@
     framed: bool
 
 
-async def pass_whole(running: Running, reply: Reply, course: Course) -> Passed | Broken:
+async def pass_whole(running: Running, reply: Reply, course: ObservedRun) -> Passed | Broken:
     """Pass on an answer that is not a stream.  `course` is told of each piece that comes."""
     body = bytearray()
     while True:
@@ -47,7 +47,7 @@
             return piece
         if isinstance(piece, End):
             break
-        course.heard(clock.now())
+        course.record_piece(clock.now())
         if reply.started:
             await reply.write(piece)
             continue
@@ -62,7 +62,7 @@
 
 
 async def pass_stream(
-    gw: Gateway, job: Job, running: Running, reply: Reply, course: Course
+    gw: Gateway, job: Job, running: Running, reply: Reply, course: ObservedRun
 ) -> Passed | Broken:
     """Pass on a stream's events; Broken where it stops before its end.  `course` is told of each
     piece that comes."""
@@ -76,7 +76,7 @@
             if splitter.rest:
                 return Broken("stream ended within an event", cut=True)
             break
-        course.heard(clock.now())
+        course.record_piece(clock.now())
         events = splitter.feed(piece)
         for event in events:
             if not _follows(job, event):
--- a/ramppost/gateway/pick.py
+++ b/ramppost/gateway/pick.py
@@ -15,19 +15,19 @@
 from ramppost.gateway.pools import Candidates
 from ramppost.gateway.state import Gateway
 from ramppost.policy.placement import (
-    Around,
     EngineView,
-    Placed,
-    PlainView,
-    Work,
-    home_of,
-    narrowed,
-    plain_ranked,
-    ranked,
-    tokens_of,
+    Placement,
+    PlacementContext,
+    PlainUpstreamView,
+    PrefillWork,
+    home_engine,
+    leading_tokens,
+    rank_engines,
+    rank_plain_upstreams,
+    select_candidates,
 )
 from ramppost.policy.routing import unit
-from ramppost.policy.urgency import level_of
+from ramppost.policy.urgency import urgency_level
 
 USUAL_PLAIN_S: Final = 0.03
 """What a plain upstream's latency is taken for until one has answered."""
@@ -104,19 +104,19 @@
         return fit
     found = gw.pools.of(service_name, fit)
     question = _question(gw, job, model, prompt)
-    work = Work(model, prompt.parts, prompt.tokens_in)
+    work = PrefillWork(model, prompt.parts, prompt.tokens_in)
     around = _around(gw, found, work)
     views = [
         _engine_view(gw, found.by_key[key], gw.backlogs.known(key, question, now), prompt, now)
-        for key in narrowed(found.pool, around.hall, around.home, gw.rng)
+        for key in select_candidates(found.pool, around.hall, around.home, gw.rng)
     ]
-    best = [placed.id for placed in ranked(views, work, gw.rates, around, now, gw.rng)]
+    best = [placed.id for placed in rank_engines(views, work, gw.rates, around, now, gw.rng)]
     return [found.by_key[key] for key in {around.home, *best[: MOST_ASKED - 1]} - {""}]
 
 
-def _around(gw: Gateway, found: Candidates, work: Work) -> Around:
+def _around(gw: Gateway, found: Candidates, work: PrefillWork) -> PlacementContext:
     hall = gw.cfg["hall"]
-    return Around(hall, home_of(found.pool, work, hall), found.pool.apart)
+    return PlacementContext(hall, home_engine(found.pool, work, hall), found.pool.long_prompt_ids)
 
 
 def _is_recent(look: Look | None, model: str, now: float) -> TypeGuard[Look]:
@@ -182,16 +182,16 @@
     prompt = job.req.prompt
     if service.engine is not None and prompt is not None:
         return _best_engine(gw, job, service, fit, model, prompt, now)
-    name = plain_ranked(_plain_views(gw, fit, now), gw.cfg["hall"], gw.rng)[0]
+    name = rank_plain_upstreams(_plain_views(gw, fit, now), gw.cfg["hall"], gw.rng)[0]
     best = next(upstream for upstream in fit if upstream.key == name)
-    placed = Placed(name, USUAL_PLAIN_S, 0.0)
+    placed = Placement(name, USUAL_PLAIN_S, 0.0)
     return _chosen(gw, service, best, len(fit), placed, NOTHING_KNOWN, 0, now)
 
 
 def level(gw: Gateway, job: Job, read_s: float) -> int:
     """How urgent a prompt is that takes so long to read."""
     rank = job.workspace.priority if job.workspace is not None else 0
-    return level_of(rank, job.route.priority, read_s)
+    return urgency_level(rank, job.route.priority, read_s)
 
 
 def _size(job: Job, service: Service, prompt: Prompt) -> int:
@@ -215,18 +215,23 @@
     prompt: Prompt,
     now: float,
 ) -> Chosen:
-    work = Work(model, prompt.parts, prompt.tokens_in, _size(job, service, prompt))
+    work = PrefillWork(model, prompt.parts, prompt.tokens_in, _size(job, service, prompt))
     among = gw.pools.of(service.name, fit)
     around = _around(gw, among, work)
     told = _told(gw, job, among, around, _question(gw, job, model, prompt), now)
     engines = [_engine_view(gw, among.by_key[k], told[k], prompt, now) for k in told]
-    found = ranked(engines, work, gw.rates, around, now, gw.rng)[0]
-    kept = tokens_of(prompt.parts, told[found.id].kept)
+    found = rank_engines(engines, work, gw.rates, around, now, gw.rng)[0]
+    kept = leading_tokens(prompt.parts, told[found.id].kept)
     return _chosen(gw, service, among.by_key[found.id], len(fit), found, told[found.id], kept, now)
 
 
 def _told(
-    gw: Gateway, job: Job, among: Candidates, around: Around, question: Question, now: float
+    gw: Gateway,
+    job: Job,
+    among: Candidates,
+    around: PlacementContext,
+    question: Question,
+    now: float,
 ) -> dict[str, Told]:
     """What was told of candidates a moment ago; what is known here where nobody was asked."""
     look = job.look
@@ -234,7 +239,7 @@
         told = {key: told for key, told in look.told.items() if key in among.by_key}
         if told:
             return told
-    weighed = narrowed(among.pool, around.hall, around.home, gw.rng)
+    weighed = select_candidates(among.pool, around.hall, around.home, gw.rng)
     return {key: gw.backlogs.known(key, question, now) for key in weighed}
 
 
@@ -243,7 +248,7 @@
     service: Service,
     best: Upstream,
     candidates: int,
-    placed: Placed,
+    placed: Placement,
     told: Told,
     kept_tokens: int,
     now: float,
@@ -256,7 +261,7 @@
         own=gw.loads.own(best.key).requests,
         reported=report.running,
         report_age_s=now - report.at,
-        first_s=placed.first_s,
+        first_s=placed.first_token_s,
         prefill_s=placed.prefill_s,
         ahead_s=told.ahead_s,
         kept_tokens=kept_tokens,
@@ -273,21 +278,25 @@
         id=upstream.key,
         hall=upstream.hall,
         ahead_s=told.ahead_s,
-        kept_tokens=tokens_of(prompt.parts, told.kept),
+        kept_tokens=leading_tokens(prompt.parts, told.kept),
         others_running=max(0, report.running - (own.requests - own.pending)),
         others_waiting=0 if told.complete else max(0, report.waiting - own.pending),
         reported_at=report.at,
-        failing=gw.suspicion_of(upstream.key).failing(now),
+        failure_rate=gw.suspicion_of(upstream.key).failure_rate(now),
     )
 
 
-def _plain_views(gw: Gateway, upstreams: list[Upstream], now: float) -> list[PlainView]:
+def _plain_views(gw: Gateway, upstreams: list[Upstream], now: float) -> list[PlainUpstreamView]:
     views = []
     for upstream in upstreams:
         seen = gw.suspicion_of(upstream.key)
         load = gw.loads.own(upstream.key).requests / max(1, upstream.slots)
-        view = PlainView(
-            upstream.key, upstream.hall, load, seen.latency_s(USUAL_PLAIN_S, now), seen.failing(now)
+        view = PlainUpstreamView(
+            upstream.key,
+            upstream.hall,
+            load,
+            seen.latency_s(USUAL_PLAIN_S, now),
+            seen.failure_rate(now),
         )
         views.append(view)
     return views
--- a/ramppost/gateway/pools.py
+++ b/ramppost/gateway/pools.py
@@ -9,7 +9,7 @@
 from typing import Final, NamedTuple
 
 from ramppost.gateway.model import Upstream
-from ramppost.policy.placement import Pool, pool_of
+from ramppost.policy.placement import EnginePool, build_pool
 
 LISTS_KEPT: Final = 4
 """Lists of a service that are in use at once: all, and both sides of a roll-out."""
@@ -20,7 +20,7 @@
 
     listed: list[Upstream]
     by_key: dict[str, Upstream]
-    pool: Pool
+    pool: EnginePool
 
 
 class Pools:
@@ -37,7 +37,7 @@
                 return found
         by_key = {upstream.key: upstream for upstream in listed}
         halls = {key: upstream.hall for key, upstream in by_key.items()}
-        found = Candidates(listed, by_key, pool_of(halls))
+        found = Candidates(listed, by_key, build_pool(halls))
         kept.insert(0, found)
         del kept[LISTS_KEPT:]
         return found
--- a/ramppost/gateway/rollout_duty.py
+++ b/ramppost/gateway/rollout_duty.py
@@ -31,7 +31,7 @@
     replace,
     set_status,
 )
-from ramppost.policy.pace import Pace, Timing
+from ramppost.policy.pace import Timing, TimingBaseline
 from ramppost.policy.ramp import COMPLETE_AT, STEPS, TELL_AT
 from ramppost.policy.routing import unit
 from ramppost.wire.codec import BadMessage
@@ -78,7 +78,7 @@
 def _is_slow(gw: Gateway, running: Running, passed: Passed, rollout: Rollout | None) -> bool:
     """Whether an answer took several times what the version in service usually takes."""
     service = running.chosen.service.name
-    pace = gw.paces.setdefault((service, running.model), Pace())
+    pace = gw.paces.setdefault((service, running.model), TimingBaseline())
     gap_s = (passed.last_s - passed.first_s) / max(1, passed.events)
     timing = Timing(passed.first_s, gap_s)
     on_trial = (
@@ -87,8 +87,8 @@
         and running.chosen.upstream.version == rollout.order.version
     )
     if not on_trial:
-        pace.note(timing)
-    return pace.slow(timing)
+        pace.record(timing)
+    return pace.is_slow(timing)
 
 
 async def drive_rollouts(gw: Gateway) -> None:
@@ -101,7 +101,7 @@
                 continue
             now = clock.now()
             place = unit("duty", gw.cfg["name"], rollout.order.service)
-            part = rollout.part(now - gw.peers.write_after_s(SPREAD_S, place, now))
+            part = rollout.part(now - gw.peers.write_delay_s(SPREAD_S, place, now))
             if rollout.withdrawn:
                 await _end(gw, rollout, completed=False)
             elif part >= COMPLETE_AT:
--- a/ramppost/gateway/serve.py
+++ b/ramppost/gateway/serve.py
@@ -28,7 +28,7 @@
 from ramppost.gateway.rollout_duty import judge_answer
 from ramppost.gateway.state import Gateway
 from ramppost.platform.headers import Headers, refusal_headers
-from ramppost.policy.fatal import Course, sign_of
+from ramppost.policy.fatal import ObservedRun, evidence_level
 from ramppost.policy.policydoc import READ_PRICE_PART
 from ramppost.wire.server import Gone
 
@@ -78,8 +78,8 @@
     service = service_of(job)
     budget = gw.budget_of(service)
     began_at = clock.now()
-    budget.tried(began_at)
-    plan = plan_of(gw, job, budget.left(began_at) >= 1)
+    budget.record_try(began_at)
+    plan = plan_of(gw, job, budget.available(began_at) >= 1)
     model = plan.models[0]
     while True:
         got = await _running(gw, job, service, model, reply)
@@ -151,7 +151,7 @@
             if failures >= MAX_CONNECT_FAILURES:
                 return _final(job, last)
         else:
-            await after_cut(gw, job, chosen.upstream, got, sign_of(None, 0))
+            await after_cut(gw, job, chosen.upstream, got, evidence_level(None, 0))
             last = refusal("outcome_unknown", got.reason)
             if job.route.repeat == "never":
                 return last
@@ -188,7 +188,7 @@
     if job.route.repeat == "never" or job.tries >= job.route.attempts:
         return False
     now = clock.now()
-    enough = gw.budget_of(service).left(now) >= 1
+    enough = gw.budget_of(service).available(now) >= 1
     return enough and pick(gw, job, service, got.model, now) is not None
 
 
@@ -206,7 +206,7 @@
     head_at = running.sent_at + running.first_s
     job.first_at = job.first_at or head_at
     events_before = job.events
-    course = Course(head_at)
+    course = ObservedRun(head_at)
     try:
         if job.route.streams and running.head.status < 400:
             got = await pass_stream(gw, job, running, reply, course)
@@ -220,7 +220,7 @@
             _charge(job, running, (job.events - events_before) * engine.tokens_per_event)
     if isinstance(got, Broken):
         now = clock.now()
-        gw.suspicion_of(running.chosen.upstream.key).note(True, now)
+        gw.suspicion_of(running.chosen.upstream.key).record_outcome(True, now)
         events_there = job.events - events_before
         logger.info(
             "answer broke off: {}",
@@ -233,13 +233,13 @@
             since_head_s=round(now - head_at, 4),
             lived_s=round(course.lived_s, 4),
         )
-        sign = sign_of(course.lived_s, events_there)
+        sign = evidence_level(course.lived_s, events_there)
         await after_cut(gw, job, running.chosen.upstream, got, sign)
         return got
     if got.framed:
         gw.fatal.answered(job.fingerprint, running.head.status)
     else:
-        sign = sign_of(course.lived_s, got.events)
+        sign = evidence_level(course.lived_s, got.events)
         await curio.spawn(after_close, gw, job, running, sign, daemon=True)
     judge_answer(gw, running, bad=running.head.status >= 500, passed=got)
     return None
--- a/ramppost/gateway/state.py
+++ b/ramppost/gateway/state.py
@@ -28,8 +28,8 @@
 from ramppost.platform import names
 from ramppost.platform.documents import DEFAULT_LIMITS
 from ramppost.platform.store import StoreClient
-from ramppost.policy.limits import SHARED_PART, WindowBudget, slack_part
-from ramppost.policy.pace import Pace
+from ramppost.policy.limits import SHARED_FRACTION, WindowBudget, slack_per_gateway
+from ramppost.policy.pace import TimingBaseline
 from ramppost.policy.placement import PrefillRates
 from ramppost.policy.pressure import Pressure
 from ramppost.policy.relays import Peers
@@ -88,7 +88,7 @@
         self.pressure = Pressure()
         self.suspicions: dict[str, Suspicion] = {}
         self.budgets: dict[str, WindowBudget] = {}
-        self.paces: dict[tuple[str, str], Pace] = {}
+        self.paces: dict[tuple[str, str], TimingBaseline] = {}
         self.rollouts = Rollouts(cfg["timing"]["session_s"])
         self.callers = Callers()
         self.metrics = Metrics()
@@ -155,9 +155,9 @@
         retries = self.cfg["retries"]
         found = self.budgets.get(service)
         if found is None:
-            found = WindowBudget(retries["ratio"] * SHARED_PART, retries["window_s"], 0.0)
+            found = WindowBudget(retries["ratio"] * SHARED_FRACTION, retries["window_s"], 0.0)
             self.budgets[service] = found
-        found.slack = slack_part(retries["slack"], self.peers.fleet_size)
+        found.slack = slack_per_gateway(retries["slack"], self.peers.fleet_size)
         return found
 
     def assume_warming_up(self, upstream: Upstream, now: float) -> None:
--- a/ramppost/gateway/subscribe.py
+++ b/ramppost/gateway/subscribe.py
@@ -20,7 +20,7 @@
 from ramppost.gateway.state import Gateway
 from ramppost.gateway.watchers import feed_wait_s, oldest_s
 from ramppost.platform.store import Change, Changes, Snapshot, StoredObject
-from ramppost.policy.relays import DEAD_S, REFUSED_S
+from ramppost.policy.relays import REFUSED_SKIP_S, UNREACHABLE_SKIP_S
 from ramppost.schema.messages import FeedChange, FeedKind, FeedMark, FeedMsg, FeedQuery
 from ramppost.wire.client import Answer, CallFailed, fetch
 from ramppost.wire.codec import BadMessage, decode, encode
@@ -59,7 +59,7 @@
         if _holds(gw, now):
             # Any other may have just started, too; those who tell are told first.
             name = ""
-        name = gw.peers.to_follow(name, helped, now, gw.rng)
+        name = gw.peers.choose_source(name, helped, now, gw.rng)
         if not name:
             await curio.sleep(IDLE_S)
             continue
@@ -95,7 +95,7 @@
         logger.info("gateway does not answer: {}", msg.reason, peer=name)
         _pass_over(gw, asking, isinstance(got, CallFailed) and not got.sent)
         return False
-    gw.peers.heard(name, True, clock.now())
+    gw.peers.record_call(name, True, clock.now())
     known_at = urgent_known_at(gw)
     await _take_all(gw, asking, msg)
     if _lags(gw, asking, msg):
@@ -125,7 +125,9 @@
     now = clock.now()
     refused = not_sent and now - asking.sent_at < REFUSED_WITHIN_S
     if not _holds(gw, now):
-        gw.peers.heard(asking.name, False, now, REFUSED_S if refused else DEAD_S)
+        gw.peers.record_call(
+            asking.name, False, now, REFUSED_SKIP_S if refused else UNREACHABLE_SKIP_S
+        )
     # Idle connections to the store and to others may be as silent as this one.
     gw.store.pool.drop_all()
 
@@ -160,7 +162,7 @@
         # The store is better off with others: let the next in rank be a relay instead.
         # A relay that asks is cut off itself and may not have noticed; who followed it
         # lags as it does, and is the one to ask in a moment.
-        gw.peers.heard(asking.name, False, now)
+        gw.peers.record_call(asking.name, False, now)
     return False
 
 
--- a/ramppost/gateway/watchers.py
+++ b/ramppost/gateway/watchers.py
@@ -22,7 +22,7 @@
 from ramppost.platform import names
 from ramppost.platform.documents import rollout_order, routing_table, upstream, warmup_left_s
 from ramppost.platform.store import Change, Snapshot, StoredObject
-from ramppost.policy.relays import FOLLOWS_ITS_HALL
+from ramppost.policy.relays import FOLLOWS_HALL_DEPTH
 from ramppost.wire.codec import BadMessage
 
 CONFIG_WAIT_OF_BOUND: Final = 0.2
@@ -68,7 +68,7 @@
 
 
 def _depth_slack_s(gw: Gateway) -> float:
-    behind_hall = gw.peers.depth(clock.now()) == FOLLOWS_ITS_HALL
+    behind_hall = gw.peers.depth(clock.now()) == FOLLOWS_HALL_DEPTH
     leave_s = gw.cfg["timing"]["upstream_leave_ms"] / 1000
     return DEPTH_SLACK_OF_BOUND * leave_s if behind_hall else 0.0
 
--- a/ramppost/policy/choice.py
+++ b/ramppost/policy/choice.py
@@ -15,27 +15,27 @@
 from ramppost.policy.routing import unit
 from ramppost.schema.settings import Box
 
-AFFINITY_BOUND: Final = 1.25
-AFFINITY_SLACK: Final = 1.0
-OTHER_HALL: Final = 0.15
+AFFINITY_LOAD_FACTOR: Final = 1.25
+AFFINITY_SLACK_REQUESTS: Final = 1.0
+OTHER_HALL_LOAD: Final = 0.15
 LOAD_HALF_LIFE_S: Final = 2.0
-EJECT_AFTER: Final = 3
+EJECT_AFTER_FAILURES: Final = 3
 EJECT_BASE_S: Final = 1.0
 EJECT_MAX_S: Final = 30.0
 
 
-class Seen(NamedTuple):
+class AgentView(NamedTuple):
     """What an entry knows of an agent; times on its own clock."""
 
     addr: str
     hall: str
-    own: int
-    reported: int
+    own_requests: int
+    reported_requests: int
     reported_at: float
     slots: int
 
 
-def subset(node: str, boxes: list[Box], size: int) -> list[Box]:
+def choose_subset(node: str, boxes: list[Box], size: int) -> list[Box]:
     """The agents of each pool that a node speaks with, `size` of each at most."""
     pools: dict[str, list[Box]] = {}
     for box in boxes:
@@ -48,52 +48,56 @@
     return chosen
 
 
-def load(seen: Seen, now: float, hall: str) -> float:
+def load_per_slot(agent: AgentView, now: float, hall: str) -> float:
     """Load per slot: our own requests there, plus what it reported, aged."""
-    age = max(0.0, now - seen.reported_at)
-    others = max(0, seen.reported - seen.own) * math.exp2(-age / LOAD_HALF_LIFE_S)
-    away = 0.0 if seen.hall == hall else OTHER_HALL
-    return (seen.own + others) / max(1, seen.slots) + away
+    age = max(0.0, now - agent.reported_at)
+    others = max(0, agent.reported_requests - agent.own_requests) * math.exp2(
+        -age / LOAD_HALF_LIFE_S
+    )
+    away = 0.0 if agent.hall == hall else OTHER_HALL_LOAD
+    return (agent.own_requests + others) / max(1, agent.slots) + away
 
 
-def order(agents: list[Seen], now: float, hall: str, prefix: str, rng: random.Random) -> list[str]:
+def rank_agents(
+    agents: list[AgentView], now: float, hall: str, prefix: str, rng: random.Random
+) -> list[str]:
     """Addresses to try, best first; empty where there is no agent."""
     if not agents:
         return []
-    loads = {seen.addr: load(seen, now, hall) for seen in agents}
-    first = _by_prefix(agents, loads, prefix) if prefix else None
+    loads = {agent.addr: load_per_slot(agent, now, hall) for agent in agents}
+    first = _prefix_home(agents, loads, prefix) if prefix else None
     if first is None:
         first = min(rng.sample(agents, min(2, len(agents))), key=lambda s: loads[s.addr]).addr
     rest = sorted((s.addr for s in agents if s.addr != first), key=lambda a: loads[a])
     return [first, *rest]
 
 
-def _by_prefix(agents: list[Seen], loads: dict[str, float], prefix: str) -> str | None:
+def _prefix_home(agents: list[AgentView], loads: dict[str, float], prefix: str) -> str | None:
     home = min(agents, key=lambda s: unit("prefix", prefix, s.addr))
     mean = sum(loads.values()) / len(loads)
-    bound = mean * AFFINITY_BOUND + AFFINITY_SLACK / max(1, home.slots)
+    bound = mean * AFFINITY_LOAD_FACTOR + AFFINITY_SLACK_REQUESTS / max(1, home.slots)
     return home.addr if loads[home.addr] <= bound else None
 
 
-class Health:
+class Ejection:
     """Ejection of an agent that fails again and again, with growing time-outs."""
 
     def __init__(self) -> None:
         self.failures = 0
-        self.until = 0.0
+        self.ejected_until = 0.0
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """A call was not answered."""
         self.failures += 1
-        if self.failures >= EJECT_AFTER:
-            spell = EJECT_BASE_S * 2 ** (self.failures - EJECT_AFTER)
-            self.until = now + min(EJECT_MAX_S, spell)
+        if self.failures >= EJECT_AFTER_FAILURES:
+            duration_s = EJECT_BASE_S * 2 ** (self.failures - EJECT_AFTER_FAILURES)
+            self.ejected_until = now + min(EJECT_MAX_S, duration_s)
 
-    def answered(self) -> None:
+    def record_success(self) -> None:
         """A call was answered."""
         self.failures = 0
-        self.until = 0.0
+        self.ejected_until = 0.0
 
-    def ejected(self, now: float) -> bool:
+    def is_ejected(self, now: float) -> bool:
         """Whether it gets no requests now; probes still go to it."""
-        return now < self.until
+        return now < self.ejected_until
--- a/ramppost/policy/departures.py
+++ b/ramppost/policy/departures.py
@@ -12,23 +12,23 @@
 from collections.abc import Mapping
 from typing import Final
 
-AT_ONCE_S: Final = 0.05
+IMMEDIATE_RETRY_S: Final = 0.05
 """The balancer already sends new connections elsewhere."""
 
 
-def come_back_s(now: float, own_back_at: float, others: Mapping[str, float]) -> float:
+def retry_delay_s(now: float, own_back_at: float, others: Mapping[str, float]) -> float:
     """Seconds after which a caller finds a gateway that takes it.
 
     `others` gives when each other gateway that is known will be back, or minus infinity for
     one that is not stopping.
 
-    >>> come_back_s(10.0, 14.0, {"a": 12.5, "b": 13.0})
+    >>> retry_delay_s(10.0, 14.0, {"a": 12.5, "b": 13.0})
     2.5
-    >>> come_back_s(10.0, 14.0, {"a": 12.5, "b": float("-inf")})
+    >>> retry_delay_s(10.0, 14.0, {"a": 12.5, "b": float("-inf")})
     0.05
-    >>> come_back_s(10.0, 14.0, {})
+    >>> retry_delay_s(10.0, 14.0, {})
     0.05
     """
     if not others:
-        return AT_ONCE_S
-    return max(AT_ONCE_S, min(own_back_at, *others.values()) - now)
+        return IMMEDIATE_RETRY_S
+    return max(IMMEDIATE_RETRY_S, min(own_back_at, *others.values()) - now)
--- a/ramppost/policy/fatal.py
+++ b/ramppost/policy/fatal.py
@@ -20,42 +20,42 @@
 from collections import OrderedDict
 from typing import Final
 
-ENDS_CERTAIN: Final = 3
-STRONGEST_ENDS_CERTAIN: Final = 4
-ENDS_KEPT: Final = 2
+FATAL_START_ENDS: Final = 3
+FATAL_TOP_SUSPECT_ENDS: Final = 4
+MIN_STORED_ENDS: Final = 2
 """So many are worth keeping where all gateways may be gone before the next."""
-WEAK_ENDS_CERTAIN: Final = 5
+FATAL_PRESENT_ENDS: Final = 5
 HARMLESS: Final = 0
 RAN: Final = 1
 WAITED: Final = 2
 STREAMED: Final = 3
 JUST_BEGUN: Final = 4
 """How much speaks against a request of an upstream that has ended."""
-LIVED_S: Final = 1.0
+LONG_RUN_S: Final = 1.0
 """Beginning a request ends an upstream within a tenth of a second; so late there is hardly any
 doubt that something else did."""
-PROVEN_S: Final = 3.0
+HARMLESS_RUN_S: Final = 3.0
 """An upstream that has run a request for so long does not end of having begun it."""
-SETTLE_S: Final = 0.5
+EVIDENCE_WAIT_S: Final = 0.5
 """How long the word of others is awaited before a weak suspicion counts."""
-REMEMBERED_S: Final = 600.0
+RETENTION_S: Final = 600.0
 """How long ends and whole answers are remembered."""
-MOST_ENDS: Final = 256
-MOST_UNDER: Final = 256
+MAX_ENDS: Final = 256
+MAX_REQUESTS_PER_END: Final = 256
 """Requests that are noted for one end: several times what an upstream has at once."""
-MOST_HARMLESS: Final = 4096
-MOST_FATAL: Final = 256
+MAX_HARMLESS: Final = 4096
+MAX_FATAL: Final = 256
 
 
-class Course:
+class ObservedRun:
     """For how long an upstream was seen to run a request, from the head of its answer on.
 
     Its longest silence does not count: a gateway that was frozen finds an answer broken off as it
     wakes, however early that was.
 
-    >>> course = Course(10.0)
-    >>> for at in (10.5, 11.0, 15.0): course.heard(at)
-    >>> course.lived_s
+    >>> run = ObservedRun(10.0)
+    >>> for at in (10.5, 11.0, 15.0): run.record_piece(at)
+    >>> run.lived_s
     1.0
     """
 
@@ -64,7 +64,7 @@
         self._heard_at = head_at
         self._silence_s = 0.0
 
-    def heard(self, now: float) -> None:
+    def record_piece(self, now: float) -> None:
         """A piece of the answer has come."""
         self._silence_s = max(self._silence_s, now - self._heard_at)
         self._heard_at = now
@@ -75,103 +75,105 @@
         return self._heard_at - self._head_at - self._silence_s
 
 
-def sign_of(lived_s: float | None, events: int) -> int:
+def evidence_level(lived_s: float | None, events: int) -> int:
     """How much speaks against a request as its upstream ended: by the seconds for which it was
     seen to run, None where the head of its answer had not come, and the events that came.
 
-    >>> sign_of(0.0, 0) == JUST_BEGUN, sign_of(None, 0) == WAITED, sign_of(7.0, 90) == HARMLESS
-    (True, True, True)
+    >>> [evidence_level(*seen) for seen in ((0.0, 0), (None, 0), (7.0, 90))] == [
+    ...     JUST_BEGUN, WAITED, HARMLESS
+    ... ]
+    True
     """
     if lived_s is None:
         return WAITED
-    if lived_s >= PROVEN_S:
+    if lived_s >= HARMLESS_RUN_S:
         return HARMLESS
-    if lived_s >= LIVED_S:
+    if lived_s >= LONG_RUN_S:
         return RAN
     return STREAMED if events else JUST_BEGUN
 
 
-class _End:
+class _UpstreamEnd:
     """An upstream's end, and what was there by how much speaks against it."""
 
     def __init__(self, at: float) -> None:
         self.at = at
-        self.signs: dict[str, int] = {}
+        self.evidence: dict[str, int] = {}
         self.culprit = ""
 
-    def explained(self, fingerprint: str) -> bool:
+    def is_caused_by_other(self, fingerprint: str) -> bool:
         """Whether another request is known to have caused it."""
         return self.culprit not in ("", fingerprint)
 
-    def settled(self, now: float) -> bool:
+    def is_settled(self, now: float) -> bool:
         """Whether the others that had requests there have told of them."""
-        return now - self.at >= SETTLE_S
+        return now - self.at >= EVIDENCE_WAIT_S
 
-    def suspects(self, fingerprint: str, now: float) -> bool:
+    def is_top_suspect(self, fingerprint: str, now: float) -> bool:
         """Whether a request is among the strongest suspects."""
-        sign = self.signs[fingerprint]
-        counts = sign == JUST_BEGUN or self.settled(now)
-        return counts and sign == max(self.signs.values())
+        level = self.evidence[fingerprint]
+        counts = level == JUST_BEGUN or self.is_settled(now)
+        return counts and level == max(self.evidence.values())
 
 
-class Docket:
+class CrashHistory:
     """Ends of upstreams, and the requests that are certain to cause them; times in seconds.
 
-    >>> docket = Docket()
+    >>> history = CrashHistory()
     >>> for number in range(3):
-    ...     docket.ended(f"e{number}", "bad", JUST_BEGUN, 1.0 * number)
-    ...     docket.ended(f"e{number}", f"other{number}", WAITED, 1.0 * number)
-    >>> docket.is_fatal("bad", 2.0), docket.is_fatal("other2", 9.0)
+    ...     history.record_end(f"e{number}", "bad", JUST_BEGUN, 1.0 * number)
+    ...     history.record_end(f"e{number}", f"other{number}", WAITED, 1.0 * number)
+    >>> history.is_fatal("bad", 2.0), history.is_fatal("other2", 9.0)
     (True, False)
     """
 
     def __init__(self) -> None:
         self.fatal: OrderedDict[str, tuple[str, ...]] = OrderedDict()
         """Requests that are certain, and the upstreams that ended under each."""
-        self._ends: OrderedDict[str, _End] = OrderedDict()
-        self._under: dict[str, list[str]] = {}
+        self._ends: OrderedDict[str, _UpstreamEnd] = OrderedDict()
+        self._ends_by_request: dict[str, list[str]] = {}
         """Upstreams that ended under each request that something speaks against."""
         self._harmless: OrderedDict[str, float] = OrderedDict()
 
-    def ended(self, upstream: str, fingerprint: str, sign: int, now: float) -> None:
+    def record_end(self, upstream: str, fingerprint: str, level: int, now: float) -> None:
         """An upstream's start is over, and it had this request; one that it has run without harm
         counts as answered."""
-        if sign <= HARMLESS:
-            self.answered(fingerprint, now)
+        if level <= HARMLESS:
+            self.record_answer(fingerprint, now)
         if self.is_harmless(fingerprint, now):
             return
         self._forget_old(now)
-        end = self._ends.setdefault(upstream, _End(now))
-        if fingerprint not in end.signs:
-            if len(end.signs) >= MOST_UNDER:
+        end = self._ends.setdefault(upstream, _UpstreamEnd(now))
+        if fingerprint not in end.evidence:
+            if len(end.evidence) >= MAX_REQUESTS_PER_END:
                 return
-            self._under.setdefault(fingerprint, []).append(upstream)
-        end.signs[fingerprint] = max(sign, end.signs.get(fingerprint, HARMLESS))
-        while len(self._ends) > MOST_ENDS:
+            self._ends_by_request.setdefault(fingerprint, []).append(upstream)
+        end.evidence[fingerprint] = max(level, end.evidence.get(fingerprint, HARMLESS))
+        while len(self._ends) > MAX_ENDS:
             self._drop_oldest()
 
-    def answered(self, fingerprint: str, now: float) -> bool:
+    def record_answer(self, fingerprint: str, now: float) -> bool:
         """A request was answered whole; whether anything spoke against it."""
         self._harmless.pop(fingerprint, None)
         self._harmless[fingerprint] = now
-        while len(self._harmless) > MOST_HARMLESS:
+        while len(self._harmless) > MAX_HARMLESS:
             self._harmless.popitem(last=False)
         self.fatal.pop(fingerprint, None)
-        under = self._under.pop(fingerprint, [])
+        under = self._ends_by_request.pop(fingerprint, [])
         for upstream in under:
-            self._ends[upstream].signs.pop(fingerprint, None)
+            self._ends[upstream].evidence.pop(fingerprint, None)
         return bool(under)
 
     def is_harmless(self, fingerprint: str, now: float) -> bool:
         """Whether a request was answered whole here, not too long ago."""
         answered_at = self._harmless.get(fingerprint)
-        return answered_at is not None and now - answered_at < REMEMBERED_S
+        return answered_at is not None and now - answered_at < RETENTION_S
 
     def is_suspect(self, fingerprint: str) -> bool:
         """Whether anything speaks against a request."""
-        return fingerprint in self._under
+        return fingerprint in self._ends_by_request
 
-    def is_fatal(self, fingerprint: str, now: float, hears_all: bool = True) -> bool:
+    def is_fatal(self, fingerprint: str, now: float, has_all_evidence: bool = True) -> bool:
         """Whether it is certain that upstreams end under a request.
 
         One that does not hear of all that others had there goes by strong suspicions only: what
@@ -181,53 +183,57 @@
             return True
         if not self.is_suspect(fingerprint):
             return False
-        ends = self._ends_certain(fingerprint, now, hears_all)
+        ends = self._proving_ends(fingerprint, now, has_all_evidence)
         if not ends:
             return False
         self.fatal[fingerprint] = ends
-        while len(self.fatal) > MOST_FATAL:
+        while len(self.fatal) > MAX_FATAL:
             self.fatal.popitem(last=False)
         for upstream in ends:
             self._ends[upstream].culprit = fingerprint
         return True
 
-    def begun_ends(self, fingerprint: str, now: float) -> tuple[str, ...]:
+    def start_ends(self, fingerprint: str, now: float) -> tuple[str, ...]:
         """The upstreams that ended as they had just begun a request."""
-        strongest = self._strongest_ends(fingerprint, now)
-        return tuple(up for up in strongest if self._ends[up].signs[fingerprint] == JUST_BEGUN)
+        strongest = self._top_suspect_ends(fingerprint, now)
+        return tuple(up for up in strongest if self._ends[up].evidence[fingerprint] == JUST_BEGUN)
 
-    def _strongest_ends(self, fingerprint: str, now: float) -> tuple[str, ...]:
+    def _top_suspect_ends(self, fingerprint: str, now: float) -> tuple[str, ...]:
         """The upstreams for whose end a request is among the strongest suspects."""
-        ends = self._open_ends(fingerprint)
-        return tuple(up for up in ends if self._ends[up].suspects(fingerprint, now))
+        ends = self._unexplained_ends(fingerprint)
+        return tuple(up for up in ends if self._ends[up].is_top_suspect(fingerprint, now))
 
-    def _ends_certain(self, fingerprint: str, now: float, hears_all: bool) -> tuple[str, ...]:
+    def _proving_ends(
+        self, fingerprint: str, now: float, has_all_evidence: bool
+    ) -> tuple[str, ...]:
         """The upstreams whose ends make it certain; empty where they do not."""
         self._forget_old(now)
-        begun = self.begun_ends(fingerprint, now)
-        if len(begun) >= ENDS_CERTAIN:
+        begun = self.start_ends(fingerprint, now)
+        if len(begun) >= FATAL_START_ENDS:
             return begun
-        if not hears_all:
+        if not has_all_evidence:
             return ()
-        strongest = self._strongest_ends(fingerprint, now)
-        if len(strongest) >= STRONGEST_ENDS_CERTAIN:
+        strongest = self._top_suspect_ends(fingerprint, now)
+        if len(strongest) >= FATAL_TOP_SUSPECT_ENDS:
             return strongest
-        settled = [up for up in self._open_ends(fingerprint) if self._ends[up].settled(now)]
-        return tuple(settled) if len(settled) >= WEAK_ENDS_CERTAIN else ()
+        is_settled = [
+            up for up in self._unexplained_ends(fingerprint) if self._ends[up].is_settled(now)
+        ]
+        return tuple(is_settled) if len(is_settled) >= FATAL_PRESENT_ENDS else ()
 
-    def _open_ends(self, fingerprint: str) -> list[str]:
+    def _unexplained_ends(self, fingerprint: str) -> list[str]:
         """The upstreams that ended under a request and, as far as is known, of no other."""
-        under = self._under.get(fingerprint, [])
-        return [up for up in under if not self._ends[up].explained(fingerprint)]
+        under = self._ends_by_request.get(fingerprint, [])
+        return [up for up in under if not self._ends[up].is_caused_by_other(fingerprint)]
 
     def _forget_old(self, now: float) -> None:
-        while self._ends and now - next(iter(self._ends.values())).at >= REMEMBERED_S:
+        while self._ends and now - next(iter(self._ends.values())).at >= RETENTION_S:
             self._drop_oldest()
 
     def _drop_oldest(self) -> None:
         upstream, end = self._ends.popitem(last=False)
-        for fingerprint in end.signs:
-            under = self._under[fingerprint]
+        for fingerprint in end.evidence:
+            under = self._ends_by_request[fingerprint]
             under.remove(upstream)
             if not under:
-                del self._under[fingerprint]
+                del self._ends_by_request[fingerprint]
--- a/ramppost/policy/fingerprint.py
+++ b/ramppost/policy/fingerprint.py
@@ -9,7 +9,7 @@
 import hashlib
 from typing import Final
 
-BYTES: Final = 8
+DIGEST_BYTES: Final = 8
 """Among a million requests two share a fingerprint once in 37 million times."""
 
 
@@ -22,8 +22,8 @@
     >>> first == fingerprint("site.example", "/ask/2f", "kitchen", b"another")
     False
     """
-    found = hashlib.blake2b(digest_size=BYTES)
+    digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (host.encode(), target.encode(), caller.encode(), body):
-        found.update(len(part).to_bytes(8, "big"))
-        found.update(part)
-    return found.hexdigest()
+        digest.update(len(part).to_bytes(8, "big"))
+        digest.update(part)
+    return digest.hexdigest()
--- a/ramppost/policy/limits.py
+++ b/ramppost/policy/limits.py
@@ -11,14 +11,14 @@
 RETRY_SHARE: Final = 0.07
 RETRY_BURST: Final = 2.0
 MIN_WAIT_S: Final = 0.5
-SLOT_PART: Final = 0.05
+SLOT_FRACTION: Final = 0.05
 """Part of a budget's window that is counted as one: so much longer a retry is remembered."""
-SHARED_PART: Final = 0.85
+SHARED_FRACTION: Final = 0.85
 """Part of the allowed retries that gateways share: the rest is for retries counted late, and for
 gateways that have come and that the others do not know of yet."""
-LEAST_SHARERS: Final = 16
+MIN_SHARING_GATEWAYS: Final = 16
 """A small fleet may double within seconds, while each gateway still counts the former ones."""
-UNKNOWN_SLACK: Final = 1.0
+UNKNOWN_FLEET_SLACK: Final = 1.0
 """Slack of a gateway that does not know its fleet yet: so that it can try one again.  The slack of
 deployments is 1.8 for each of their gateways and some 50, from 4 gateways to 68."""
 
@@ -66,7 +66,7 @@
         self.tries = 0
         self.retries = 0
 
-    def tried(self) -> None:
+    def record_try(self) -> None:
         """A request was tried for the first time."""
         self.tries += 1
         self.left = min(self.burst, self.left + self.share)
@@ -80,18 +80,18 @@
         return True
 
 
-def slack_part(slack: float, gateways: int) -> float:
+def slack_per_gateway(slack: float, gateways: int) -> float:
     """A gateway's part of the slack that a service's retries have, in a fleet of so many; 0 for
     one that is not known yet.
 
     With a sixteenth for each whatever the size, 68 gateways had 4.3 times the slack.
 
-    >>> slack_part(58, 6), round(slack_part(176, 68), 2), slack_part(176, 0)
+    >>> slack_per_gateway(58, 6), round(slack_per_gateway(176, 68), 2), slack_per_gateway(176, 0)
     (3.08125, 2.2, 1.0)
     """
     if gateways == 0:
-        return UNKNOWN_SLACK
-    return slack * SHARED_PART / max(LEAST_SHARERS, gateways)
+        return UNKNOWN_FLEET_SLACK
+    return slack * SHARED_FRACTION / max(MIN_SHARING_GATEWAYS, gateways)
 
 
 class WindowBudget:
@@ -102,8 +102,8 @@
     are never more than `share` of the tries of the last `window_s` seconds and `slack`.
 
     >>> budget = WindowBudget(0.5, 10.0, 1.0)
-    >>> for _ in range(4): budget.tried(100.0)
-    >>> budget.left(101.0), budget.left(111.0)
+    >>> for _ in range(4): budget.record_try(100.0)
+    >>> budget.available(101.0), budget.available(111.0)
     (3.0, 1.0)
     """
 
@@ -114,11 +114,11 @@
         self._slots: deque[tuple[float, int, int]] = deque()
         """When each slot of time ends, and the tries and retries in it."""
 
-    def tried(self, now: float) -> None:
+    def record_try(self, now: float) -> None:
         """A request was tried for the first time."""
         self._count(now, 1, 0)
 
-    def left(self, now: float) -> float:
+    def available(self, now: float) -> float:
         """Retries that may follow at once."""
         # Tries and retries of a slot are forgotten together, when its end has left the window.
         while self._slots and self._slots[0][0] <= now - self.window_s:
@@ -129,13 +129,13 @@
 
     def take(self, now: float) -> bool:
         """Whether one more retry is within the budget."""
-        if self.left(now) < 1:
+        if self.available(now) < 1:
             return False
         self._count(now, 0, 1)
         return True
 
     def _count(self, now: float, tries: int, retries: int) -> None:
-        slot_s = self.window_s * SLOT_PART
+        slot_s = self.window_s * SLOT_FRACTION
         if not self._slots or now >= self._slots[-1][0]:
             self._slots.append((now + slot_s, 0, 0))
         ends, tried, retried = self._slots[-1]
--- a/ramppost/policy/pace.py
+++ b/ramppost/policy/pace.py
@@ -11,42 +11,52 @@
 from typing import Final, NamedTuple
 
 SLOW_FACTOR: Final = 2.0
-FIRST_SLACK_S: Final = 0.05
-GAP_SLACK_S: Final = 0.005
-WEIGHT: Final = 0.1
-LEAST_NOTED: Final = 10
+FIRST_TOKEN_SLACK_S: Final = 0.05
+TOKEN_GAP_SLACK_S: Final = 0.005
+MIN_WEIGHT: Final = 0.1
+MIN_SAMPLES: Final = 10
 
 
 class Timing(NamedTuple):
     """Seconds to the first token, and from one token to the next on average."""
 
-    first_s: float
-    gap_s: float
+    first_token_s: float
+    token_gap_s: float
 
 
-class Pace:
+class TimingBaseline:
     """The stable version's usual timing."""
 
     def __init__(self) -> None:
-        self.noted = 0
-        self.usual = Timing(0.0, 0.0)
+        self.samples = 0
+        self.average = Timing(0.0, 0.0)
 
-    def note(self, seen: Timing) -> None:
+    def record(self, timing: Timing) -> None:
         """Take in an answer of the stable version."""
-        self.noted += 1
-        weight = max(WEIGHT, 1 / self.noted)
-        first_s = self.usual.first_s + weight * (seen.first_s - self.usual.first_s)
-        self.usual = Timing(first_s, self.usual.gap_s + weight * (seen.gap_s - self.usual.gap_s))
-
-    def slow(self, seen: Timing) -> bool:
+        self.samples += 1
+        weight = max(MIN_WEIGHT, 1 / self.samples)
+        first_token_s = self.average.first_token_s + weight * (
+            timing.first_token_s - self.average.first_token_s
+        )
+        self.average = Timing(
+            first_token_s,
+            self.average.token_gap_s + weight * (timing.token_gap_s - self.average.token_gap_s),
+        )
+
+    def is_slow(self, timing: Timing) -> bool:
         """Whether an answer was slow; never before the usual timing is known.
 
-        >>> pace = Pace()
-        >>> for _ in range(10): pace.note(Timing(0.2, 0.03))
-        >>> pace.slow(Timing(0.3, 0.04)), pace.slow(Timing(0.3, 0.08))
+        >>> baseline = TimingBaseline()
+        >>> for _ in range(10): baseline.record(Timing(0.2, 0.03))
+        >>> baseline.is_slow(Timing(0.3, 0.04)), baseline.is_slow(Timing(0.3, 0.08))
         (False, True)
         """
-        if self.noted < LEAST_NOTED:
+        if self.samples < MIN_SAMPLES:
             return False
-        late = seen.first_s > SLOW_FACTOR * self.usual.first_s + FIRST_SLACK_S
-        return late or seen.gap_s > SLOW_FACTOR * self.usual.gap_s + GAP_SLACK_S
+        first_token_is_slow = (
+            timing.first_token_s > SLOW_FACTOR * self.average.first_token_s + FIRST_TOKEN_SLACK_S
+        )
+        return (
+            first_token_is_slow
+            or timing.token_gap_s > SLOW_FACTOR * self.average.token_gap_s + TOKEN_GAP_SLACK_S
+        )
--- a/ramppost/policy/urgency.py
+++ b/ramppost/policy/urgency.py
@@ -16,21 +16,21 @@
 
 from typing import Final
 
-LEVELS_A_WORKSPACE: Final = 3
+LEVELS_PER_WORKSPACE: Final = 3
 LOWEST_LEVEL: Final = 9
 """Engines take 0 to 9."""
 SHORT_READ_S: Final = 0.2
 """A prompt that takes so long to read is no longer short."""
 
 
-def level_of(workspace_rank: int, route_rank: int, read_s: float) -> int:
+def urgency_level(workspace_rank: int, route_rank: int, read_s: float) -> int:
     """The level of a prompt, 0 first, by the ranks of its workspace and route (0 first, too).
 
-    >>> level_of(0, 2, 0.05), level_of(0, 0, 1.5), level_of(0, 2, 1.5), level_of(1, 0, 0.05)
-    (0, 1, 2, 3)
+    >>> [urgency_level(*case) for case in ((0, 2, 0.05), (0, 0, 1.5), (0, 2, 1.5), (1, 0, 0.05))]
+    [0, 1, 2, 3]
     """
     if read_s < SHORT_READ_S:
         within = 0
     else:
-        within = min(LEVELS_A_WORKSPACE - 1, 1 + route_rank)
-    return min(LOWEST_LEVEL, workspace_rank * LEVELS_A_WORKSPACE + within)
+        within = min(LEVELS_PER_WORKSPACE - 1, 1 + route_rank)
+    return min(LOWEST_LEVEL, workspace_rank * LEVELS_PER_WORKSPACE + within)
--- a/tests/harness/replay.py
+++ b/tests/harness/replay.py
@@ -17,18 +17,18 @@
 from functools import partial
 from typing import Final, NamedTuple
 
-from ramppost.policy.backlog import Backlog, Reading
+from ramppost.policy.backlog import Backlog, PendingPrompt
 from ramppost.policy.placement import (
-    Around,
     EngineView,
+    PlacementContext,
     PrefillRates,
-    Work,
-    home_of,
-    pool_of,
-    ranked,
-    tokens_of,
+    PrefillWork,
+    build_pool,
+    home_engine,
+    leading_tokens,
+    rank_engines,
 )
-from ramppost.policy.urgency import level_of
+from ramppost.policy.urgency import urgency_level
 
 TOKEN_S: Final = {"small": 8e-6, "large": 8e-5}
 """Seconds that a model takes to read a token."""
@@ -77,7 +77,7 @@
 
 
 class _Prompt:
-    def __init__(self, work: Work, gateway: int, hall: str, at: float) -> None:
+    def __init__(self, work: PrefillWork, gateway: int, hall: str, at: float) -> None:
         self.work = work
         self.gateway = gateway
         self.hall = hall
@@ -101,7 +101,7 @@
         self.backlogs: dict[tuple[int, str], Backlog] = {}
         self.rates = PrefillRates()
         for model, token_s in TOKEN_S.items():
-            self.rates.heard(model, token_s)
+            self.rates.accept_peer_rate(model, token_s)
         self.numbers = itertools.count()
         self.events: list[tuple[float, int, Happening]] = []
         self.done: list[_Prompt] = []
@@ -118,26 +118,26 @@
         views = []
         for engine in (e for e in self.engines if not e.lost):
             backlog = self.backlog(prompt.gateway, engine.name)
-            kept = backlog.kept_parts(prompt.work.model, names, now)
-            kept_tokens = tokens_of(prompt.work.parts, kept)
+            kept = backlog.cached_parts(prompt.work.model, names, now)
+            kept_tokens = leading_tokens(prompt.work.parts, kept)
             ahead_s = backlog.ahead_s(level, now)
             views.append(EngineView(engine.name, engine.hall, ahead_s, kept_tokens, 0, 0, now, 0))
-        pool = pool_of({view.id: view.hall for view in views})
-        home = home_of(pool, prompt.work, prompt.hall)
-        around = Around(prompt.hall, home, pool.apart)
-        best = ranked(views, prompt.work, self.rates, around, now, self.rng)[0]
+        pool = build_pool({view.id: view.hall for view in views})
+        home = home_engine(pool, prompt.work, prompt.hall)
+        around = PlacementContext(prompt.hall, home, pool.long_prompt_ids)
+        best = rank_engines(views, prompt.work, self.rates, around, now, self.rng)[0]
         chosen = next(e for e in self.engines if e.name == best.id)
         prompt.key = f"{next(self.numbers)}"
         prompt.level = self.level(prompt, best.prefill_s)
-        prompt.predicted_s = now - prompt.at + best.first_s
+        prompt.predicted_s = now - prompt.at + best.first_token_s
         prompt.away = chosen.hall != prompt.hall
-        reading = Reading(now, best.prefill_s, prompt.level, prompt.work.model, names)
-        self.backlog(prompt.gateway, chosen.name).sent(prompt.key, reading)
+        reading = PendingPrompt(now, best.prefill_s, prompt.level, prompt.work.model, names)
+        self.backlog(prompt.gateway, chosen.name).add(prompt.key, reading)
         heapq.heappush(chosen.queue, (prompt.level, next(self.numbers), prompt))
         self.read_next(chosen, now)
 
     def level(self, prompt: _Prompt, read_s: float) -> int:
-        return level_of(0, 1, read_s) if self.by_size else 0
+        return urgency_level(0, 1, read_s) if self.by_size else 0
 
     def read_next(self, engine: _Engine, now: float) -> None:
         if engine.reading is not None or not engine.queue or engine.lost:
@@ -153,7 +153,7 @@
             return
         engine.reading = None
         engine.kept |= {(prompt.work.model, name) for name, _ in prompt.work.parts}
-        self.backlog(prompt.gateway, engine.name).began(prompt.key, now)
+        self.backlog(prompt.gateway, engine.name).record_first_token(prompt.key, now)
         prompt.took_s = now - prompt.at
         self.done.append(prompt)
         self.read_next(engine, now)
@@ -165,7 +165,7 @@
         if engine.reading is not None:
             again.append(engine.reading)
         for prompt in again:
-            self.backlog(prompt.gateway, engine.name).dropped(prompt.key, now)
+            self.backlog(prompt.gateway, engine.name).remove(prompt.key, now)
             self.place(prompt, now)
 
 
@@ -181,7 +181,7 @@
         own = int(world.rng.lognormvariate(7.3, 0.8))
         parts = ((f"p{prefix}", shared_tokens), (f"own{next(world.numbers)}", own))
         model = "large" if world.rng.random() < LARGE_SHARE else "small"
-        work = Work(model, parts, shared_tokens + own, 20000)
+        work = PrefillWork(model, parts, shared_tokens + own, 20000)
         prompt = _Prompt(work, gateway, HALLS[gateway % len(HALLS)], now)
         world.at(now, partial(world.place, prompt))
     for engine in world.engines[: load.lost]:
--- a/tests/test_choice_size.py
+++ b/tests/test_choice_size.py
@@ -19,8 +19,8 @@
 from ramppost.gateway.pick import MOST_ASKED, asked_about, pick
 from ramppost.gateway.state import Gateway
 from ramppost.policy import placement
-from ramppost.policy.backlog import Reading
-from ramppost.policy.placement import MOST_WEIGHED, home_of, narrowed, pool_of
+from ramppost.policy.backlog import PendingPrompt
+from ramppost.policy.placement import MAX_CANDIDATES, build_pool, home_engine, select_candidates
 
 MODEL = "small"
 
@@ -60,7 +60,7 @@
     engines: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     seen = counted(engines, monkeypatch)
-    assert seen["known"] <= 100 * 2 * MOST_WEIGHED
+    assert seen["known"] <= 100 * 2 * MAX_CANDIDATES
     assert seen["unit"] == 0, "homes of subjects seen before are remembered"
 
 
@@ -72,10 +72,10 @@
         prompt = job.req.prompt
         assert prompt is not None
         usable = gw.members.usable("lm", clock.now())
-        pool = pool_of({up.key: up.hall for up in usable})
-        work = placement.Work(MODEL, prompt.parts, prompt.tokens_in)
-        home = home_of(pool, work, gw.cfg["hall"])
-        assert home in narrowed(pool, gw.cfg["hall"], home, rng)
+        pool = build_pool({up.key: up.hall for up in usable})
+        work = placement.PrefillWork(MODEL, prompt.parts, prompt.tokens_in)
+        home = home_engine(pool, work, gw.cfg["hall"])
+        assert home in select_candidates(pool, gw.cfg["hall"], home, rng)
         asked = [up.key for up in asked_about(gw, job, "lm", MODEL, clock.now())]
         assert home in asked
         assert len(asked) <= MOST_ASKED
@@ -94,5 +94,5 @@
     near = [up for up in gw.members.usable("lm", clock.now()) if up.hall == gw.cfg["hall"]]
     assert chosen(gw, 2000) == {up.id for up in near}
     for up in near:
-        gw.backlogs.sent(up, "k", Reading(clock.now(), 9.0, 0, MODEL, ()))
+        gw.backlogs.sent(up, "k", PendingPrompt(clock.now(), 9.0, 0, MODEL, ()))
     assert len(chosen(gw, 2000) - {up.id for up in near}) > 100
--- a/tests/test_course.py
+++ b/tests/test_course.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ramppost.policy.fatal import HARMLESS, JUST_BEGUN, STREAMED, Course, sign_of
+from ramppost.policy.fatal import HARMLESS, JUST_BEGUN, STREAMED, ObservedRun, evidence_level
 
 FROZEN_S = 4.0
 
@@ -25,7 +25,7 @@
     By the time that had passed an engine seemed to have run the request for four seconds, so it
     was held to be harmless, at all gateways, though its engine had ended within a tenth of one.
     """
-    course = Course(10.0)
+    course = ObservedRun(10.0)
     for at in heard_at:
-        course.heard(10.0 + at)
-    assert sign_of(course.lived_s, len(heard_at)) == sign
+        course.record_piece(10.0 + at)
+    assert evidence_level(course.lived_s, len(heard_at)) == sign
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,7 +16,7 @@
 from ramppost.gateway.watchers import upstreams_listed
 from ramppost.platform.headers import caller_request
 from ramppost.platform.store import Snapshot
-from ramppost.policy.fatal import ENDS_CERTAIN, JUST_BEGUN
+from ramppost.policy.fatal import FATAL_START_ENDS, JUST_BEGUN
 from ramppost.wire.client import CallFailed
 from tests.harness.gateways import STREAM
 from tests.test_gateway_state import SETTINGS, ask, entry, take
@@ -71,11 +71,11 @@
     gw = Gateway(SETTINGS)
     take(gw, 5, 1)
     gw.fresh.confirm(clock.now())
-    upstreams_listed(gw, Snapshot([entry(f"e{number}") for number in range(ENDS_CERTAIN)], 5))
+    upstreams_listed(gw, Snapshot([entry(f"e{number}") for number in range(FATAL_START_ENDS)], 5))
     admitted = ask(gw, STREAM)
     assert isinstance(admitted, Admitted)
     job = Job(caller_request("POST", STREAM, (), b""), admitted, clock.now())
-    job.attempts = ENDS_CERTAIN
+    job.attempts = FATAL_START_ENDS
 
     async def cut() -> None:
         for upstream in gw.members.usable("lm", clock.now()):
@@ -84,5 +84,5 @@
 
     curio.run(cut)
     assert gw.fatal.is_fatal(job.fingerprint) == case.noted
-    assert job.tries == (0 if case.noted else ENDS_CERTAIN)
+    assert job.tries == (0 if case.noted else FATAL_START_ENDS)
     assert bool(gw.members.usable("lm", clock.now())) == case.used
--- a/tests/test_fatal_crashes.py
+++ b/tests/test_fatal_crashes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ramppost.policy.fatal import JUST_BEGUN, Docket, sign_of
+from ramppost.policy.fatal import JUST_BEGUN, CrashHistory, evidence_level
 
 
 def test_whoever_an_upstream_has_run_for_long_is_harmless() -> None:
@@ -12,13 +12,13 @@
     had begun later.  Then it streamed for 4.9 s at a fourth, until that crashed as well, and was
     refused for good at its caller's next try, after 5.9 s more.
     """
-    docket = Docket()
-    docket.ended("e1", "it", sign_of(None, 0), 8.0)
-    docket.ended("e2", "it", sign_of(0.26, 1), 8.4)
-    docket.ended("e3", "it", sign_of(0.30, 1), 8.8)
+    docket = CrashHistory()
+    docket.record_end("e1", "it", evidence_level(None, 0), 8.0)
+    docket.record_end("e2", "it", evidence_level(0.26, 1), 8.4)
+    docket.record_end("e3", "it", evidence_level(0.30, 1), 8.8)
     assert not docket.is_fatal("it", 9.4)
-    docket.ended("e4", "it", sign_of(4.94, 17), 13.9)
+    docket.record_end("e4", "it", evidence_level(4.94, 17), 13.9)
     assert docket.is_harmless("it", 13.9)
     for number in range(9):
-        docket.ended(f"f{number}", "it", JUST_BEGUN, 14.0)
+        docket.record_end(f"f{number}", "it", JUST_BEGUN, 14.0)
     assert not docket.is_fatal("it", 20.0)
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -207,13 +207,13 @@
 def test_an_upstream_that_starts_again_under_its_id_is_another_one(gw: Gateway) -> None:
     upstreams_listed(gw, Snapshot([entry(born=1000)], 1))
     before = gw.members.usable("lm", clock.now())[0]
-    gw.suspicion_of(before.key).note(True, clock.now())
+    gw.suspicion_of(before.key).record_outcome(True, clock.now())
     gw.loads.report(before.key, 20, 7, clock.now())
     gw.links.heard[before.key] = clock.now()
     upstream_changed(gw, Change(entry(revision=2, born=2000), False))
     after = gw.members.usable("lm", clock.now())[0]
     assert (after.id, after.key != before.key) == (before.id, True)
-    assert gw.suspicion_of(after.key).failing(clock.now()) == 0.0
+    assert gw.suspicion_of(after.key).failure_rate(clock.now()) == 0.0
     assert gw.loads.reported(after.key).waiting == 0
     assert before.key not in gw.suspicions
     assert before.key not in gw.links.heard
@@ -360,5 +360,5 @@
     assert chosen is not None
     refused = Refused(status, 0.0, wrong_upstream=status == 421)
     _note(gw, job, chosen._replace(upstream=ghost), "small", refused, 0.01)
-    failing = gw.suspicion_of(ghost.key).failing(clock.now())
+    failing = gw.suspicion_of(ghost.key).failure_rate(clock.now())
     assert (failing > 0) == avoided
--- a/tests/test_gateway_backlogs.py
+++ b/tests/test_gateway_backlogs.py
@@ -14,8 +14,8 @@
 from ramppost.gateway.datagrams import Datagrams
 from ramppost.gateway.metrics import Metrics
 from ramppost.gateway.model import Upstream
-from ramppost.policy.backlog import Reading
-from ramppost.policy.placement import ENOUGH_SEEN, PrefillRates
+from ramppost.policy.backlog import PendingPrompt
+from ramppost.policy.placement import MIN_RATE_SAMPLES, PrefillRates
 from ramppost.policy.relays import Peers
 from tests.test_gateway_follow import free_port
 
@@ -67,8 +67,8 @@
     return curio.run(run)
 
 
-def reading(read_s: float = 0.5) -> Reading:
-    return Reading(clock.now(), read_s, 2, "m", ("one", "two"))
+def reading(read_s: float = 0.5) -> PendingPrompt:
+    return PendingPrompt(clock.now(), read_s, 2, "m", ("one", "two"))
 
 
 def test_what_one_gateway_sends_the_other_knows() -> None:
@@ -126,13 +126,13 @@
 
 def test_a_gateway_that_has_just_started_reads_at_the_rate_that_others_learned() -> None:
     async def scene(site: Site) -> None:
-        for _ in range(ENOUGH_SEEN + 10):
-            site.rates["south"].saw("m", 10000, 0.8)
+        for _ in range(MIN_RATE_SAMPLES + 10):
+            site.rates["south"].observe("m", 10000, 0.8)
         await site.north.ask([FAR], QUESTION)
         told_s = site.rates["south"].rate_s("m")
         assert site.rates["north"].rate_s("m") == pytest.approx(told_s, rel=1e-3)
-        for _ in range(ENOUGH_SEEN):
-            site.rates["north"].saw("m", 10000, 0.4)
+        for _ in range(MIN_RATE_SAMPLES):
+            site.rates["north"].observe("m", 10000, 0.4)
         learned_s = site.rates["north"].rate_s("m")
         await site.north.ask([FAR], QUESTION)
         assert site.rates["north"].rate_s("m") == learned_s
--- a/tests/test_gateway_loading.py
+++ b/tests/test_gateway_loading.py
@@ -126,7 +126,7 @@
     async def scene(pair: Pair) -> None:
         asked = await store_of(pair, 6)
         await told_of(pair, 6)
-        pair.asker.peers.heard(RELAY, False, clock.now())
+        pair.asker.peers.record_call(RELAY, False, clock.now())
         await loaded(pair, 6)
         assert asked == []
 
--- a/tests/test_gateway_policy.py
+++ b/tests/test_gateway_policy.py
@@ -29,22 +29,22 @@
 def test_failures_fade() -> None:
     seen = Suspicion()
     for _ in range(5):
-        seen.note(True, NOW)
-    assert seen.failing(NOW) > 0.8
-    assert seen.failing(NOW + 12) < 0.06
+        seen.record_outcome(True, NOW)
+    assert seen.failure_rate(NOW) > 0.8
+    assert seen.failure_rate(NOW + 12) < 0.06
 
 
 def test_good_answers_clear_suspicion() -> None:
     seen = Suspicion()
-    seen.note(True, NOW)
+    seen.record_outcome(True, NOW)
     for _ in range(6):
-        seen.note(False, NOW)
-    assert seen.failing(NOW) < 0.04
+        seen.record_outcome(False, NOW)
+    assert seen.failure_rate(NOW) < 0.04
 
 
 def test_latency_returns_to_the_usual_one() -> None:
     seen = Suspicion()
-    seen.took(0.5, NOW)
+    seen.record_latency(0.5, NOW)
     assert seen.latency_s(0.03, NOW) == pytest.approx(0.5)
     assert seen.latency_s(0.03, NOW + 20) < 0.05
 
@@ -59,7 +59,7 @@
     log = []
     for _ in range(3000):
         if rng.random() < 0.5:
-            budget.tried()
+            budget.record_try()
             log.append("try")
         elif budget.take():
             log.append("retry")
@@ -78,7 +78,7 @@
         self.retries: list[float] = []
 
     def tried(self, gateway: int, now: float) -> None:
-        self.budgets[gateway].tried(now)
+        self.budgets[gateway].record_try(now)
         self.tries.append(now)
 
     def take(self, gateway: int, now: float) -> bool:
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -30,8 +30,8 @@
 from ramppost.platform.documents import LEAVING
 from ramppost.platform.headers import caller_request
 from ramppost.platform.store import Change, Snapshot, StoredObject
-from ramppost.policy.departures import AT_ONCE_S
-from ramppost.policy.fatal import ENDS_CERTAIN, JUST_BEGUN, MOST_FATAL
+from ramppost.policy.departures import IMMEDIATE_RETRY_S
+from ramppost.policy.fatal import FATAL_START_ENDS, JUST_BEGUN, MAX_FATAL
 from ramppost.schema.messages import LeavingNote
 from ramppost.schema.settings import GatewaySettings
 from tests.harness.gateways import KEYS, ONCE, OPEN, SITE, STREAM, config
@@ -230,7 +230,7 @@
     stopping(gw, 5.0)
     heard_leaving(gw, LeavingNote(name="gateway-2", back_ms=3000))
     got = ask(gw, STREAM)
-    assert (got.code, got.retry_after_s) == ("leaving", AT_ONCE_S)
+    assert (got.code, got.retry_after_s) == ("leaving", IMMEDIATE_RETRY_S)
 
 
 def test_where_all_gateways_stop_callers_are_told_when_the_first_is_back(gw: Gateway) -> None:
@@ -244,7 +244,7 @@
     stopping(gw, 5.0)
     heard_leaving(gw, LeavingNote(name="gateway-2", back_ms=0))
     heard_leaving(gw, LeavingNote(name="gateway-3", back_ms=4000))
-    assert ask(gw, STREAM).retry_after_s == AT_ONCE_S
+    assert ask(gw, STREAM).retry_after_s == IMMEDIATE_RETRY_S
 
 
 def entry(name: str, state: str = "ready") -> StoredObject:
@@ -315,7 +315,7 @@
 
 def test_only_a_run_to_a_good_end_shows_that_a_request_is_harmless(gw: Gateway) -> None:
     """An engine's 504 after its time in the queue came whole, and cleared what ended engines."""
-    for number in range(ENDS_CERTAIN):
+    for number in range(FATAL_START_ENDS):
         curio.run(gw.fatal.ended, f"e{number}", "it", JUST_BEGUN)
     for status in (504, 500, 400, 200):
         assert gw.fatal.is_fatal("it"), status
@@ -332,9 +332,9 @@
 
 
 def test_a_document_of_fatal_requests_is_taken_in_up_to_its_bound(gw: Gateway) -> None:
-    fatal_listed(gw, Snapshot([stored_fatal(3 * MOST_FATAL, True)], 7))
-    assert len(gw.fatal.agreed) == MOST_FATAL
-    assert gw.fatal.is_fatal(f"r{3 * MOST_FATAL - 1}")
+    fatal_listed(gw, Snapshot([stored_fatal(3 * MAX_FATAL, True)], 7))
+    assert len(gw.fatal.agreed) == MAX_FATAL
+    assert gw.fatal.is_fatal(f"r{3 * MAX_FATAL - 1}")
 
 
 def test_a_document_that_is_not_understood_changes_nothing(gw: Gateway) -> None:
@@ -345,7 +345,7 @@
 
 def test_an_operator_lets_all_run_again_by_removing_the_document(gw: Gateway) -> None:
     fatal_listed(gw, Snapshot([stored_fatal(1, True)], 7))
-    for number in range(ENDS_CERTAIN):
+    for number in range(FATAL_START_ENDS):
         curio.run(gw.fatal.ended, f"e{number}", "it", JUST_BEGUN)
     assert gw.fatal.is_fatal("r0") and gw.fatal.is_fatal("it")
     fatal_changed(gw, Change(stored_fatal(1, True), True))
@@ -376,7 +376,7 @@
 def test_a_list_without_the_document_lets_all_run_again(gw: Gateway) -> None:
     """A gateway that was away as the document was removed reads a list and no removal."""
     fatal_listed(gw, Snapshot([stored_fatal(1, True)], 7))
-    for number in range(ENDS_CERTAIN):
+    for number in range(FATAL_START_ENDS):
         curio.run(gw.fatal.ended, f"e{number}", "it", JUST_BEGUN)
     fatal_listed(gw, Snapshot([], 9))
     assert not gw.fatal.is_fatal("r0")
--- a/tests/test_hall_feed.py
+++ b/tests/test_hall_feed.py
@@ -21,7 +21,7 @@
 from ramppost.gateway.subscribe import ANSWER_SLACK_S, FED_GRACE_S, ask_once, subscribe
 from ramppost.gateway.watchers import feed_wait_s, oldest_s
 from ramppost.platform.store import Change, Changes, Snapshot, StoredObject
-from ramppost.policy.relays import FOLLOWS_A_RELAY, FOLLOWS_ITS_HALL, WATCHES
+from ramppost.policy.relays import FOLLOWS_HALL_DEPTH, FOLLOWS_RELAY_DEPTH, RELAY_DEPTH
 from ramppost.schema.settings import GatewaySettings
 from ramppost.wire.server import Reply, Request, listen, serve
 from tests.harness.tasks import end_all
@@ -54,11 +54,11 @@
         for other in names:
             gw.peers.put(other, f"127.0.0.1:{ports[other]}", SETTINGS["hall"])
         by_depth.setdefault(gw.peers.depth(clock.now()), gw)
-    found = [by_depth[depth] for depth in (WATCHES, FOLLOWS_A_RELAY, FOLLOWS_ITS_HALL)]
+    found = [by_depth[depth] for depth in (RELAY_DEPTH, FOLLOWS_RELAY_DEPTH, FOLLOWS_HALL_DEPTH)]
     for gw in found:
         for other in names:
             if other not in [one.cfg["name"] for one in found]:
-                gw.peers.heard(other, False, clock.now(), 60.0)
+                gw.peers.record_call(other, False, clock.now(), 60.0)
     return found
 
 
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -20,7 +20,7 @@
 from ramppost.gateway.peers import GATEWAY_KIND, own_entry
 from ramppost.gateway.state import Gateway
 from ramppost.platform import names
-from ramppost.policy.relays import FIRST_TOLD_S
+from ramppost.policy.relays import MIN_START_HOLD_S
 from ramppost.schema.settings import GatewaySettings
 from ramppost.wire.codec import decode, encode
 from ramppost.wire.server import Reply, Request, listen, serve
@@ -128,12 +128,12 @@
             try:
                 await scene(store)
             except AssertionError:
-                if max(pauses) < FIRST_TOLD_S / 2:
+                if max(pauses) < MIN_START_HOLD_S / 2:
                     raise
                 pauses.append(float("inf"))
 
         play(watched)
-        if max(pauses) < FIRST_TOLD_S / 2:
+        if max(pauses) < MIN_START_HOLD_S / 2:
             return
     raise AssertionError(f"this process stood still in each of {MOST_PLAYS} plays")
 
--- a/tests/test_large_config.py
+++ b/tests/test_large_config.py
@@ -25,13 +25,13 @@
 
 from ramppost import clock
 from ramppost.platform import names
-from ramppost.policy.relays import ranked_names
+from ramppost.policy.relays import rank_gateways
 from ramppost.wire.client import Answer, Pool, fetch
 from tests.harness.gateways import HOST, KEYS, SAFE, Deployment, config, route
 from tests.harness.proxy import Proxy
 
 ROUTES = 4000
-RELAY, FOLLOWER = ranked_names(["gateway-1", "gateway-2"])
+RELAY, FOLLOWER = rank_gateways(["gateway-1", "gateway-2"])
 SOON_S = 0.9
 """Half of the transfer: what is told while it runs does not wait for its end."""
 RATE = 500_000.0
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -22,7 +22,7 @@
     models_of,
     policy_of,
 )
-from ramppost.policy.pressure import USUAL_READ_S, Pressure
+from ramppost.policy.pressure import TYPICAL_READ_S, Pressure
 from ramppost.schema.config import Policy, PolicyShare, WorkspacePolicies
 
 NOW = 1000.0
@@ -121,13 +121,13 @@
 @pytest.mark.parametrize(
     ("kind", "shortage", "read_s", "threshold"),
     [
-        ("learned", 0.0, USUAL_READ_S, 0.5),
-        ("learned", 0.5, USUAL_READ_S, 0.375),
-        ("learned", 1.0, USUAL_READ_S, 0.25),
-        ("learned", 1.0, USUAL_READ_S / 2, 0.375),
+        ("learned", 0.0, TYPICAL_READ_S, 0.5),
+        ("learned", 0.5, TYPICAL_READ_S, 0.375),
+        ("learned", 1.0, TYPICAL_READ_S, 0.25),
+        ("learned", 1.0, TYPICAL_READ_S / 2, 0.375),
         ("learned", 1.0, 0.0, 0.5),
         ("learned", 0.0, 9.0, 0.5),
-        ("cascade", 1.0, USUAL_READ_S, 0.5),
+        ("cascade", 1.0, TYPICAL_READ_S, 0.5),
         ("cascade", 1.0, 9.0, 0.5),
     ],
 )
@@ -142,11 +142,11 @@
     pressure = Pressure()
     assert pressure.shortage(NOW) == 0.0
     for i in range(30):
-        pressure.waited(0.02, NOW + i / 10)
+        pressure.record_wait(0.02, NOW + i / 10)
     assert pressure.shortage(NOW + 3) == 0.0
     for i in range(30):
-        pressure.waited(1.5, NOW + 3 + i / 30)
+        pressure.record_wait(1.5, NOW + 3 + i / 30)
     assert pressure.shortage(NOW + 4) == 1.0
     for i in range(50):
-        pressure.waited(0.02, NOW + 4 + i / 10)
+        pressure.record_wait(0.02, NOW + 4 + i / 10)
     assert pressure.shortage(NOW + 9) == 0.0
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,16 +7,16 @@
 import pytest
 
 from ramppost.policy.placement import (
-    Around,
+    EnginePool,
     EngineView,
-    PlainView,
-    Pool,
+    PlacementContext,
+    PlainUpstreamView,
     PrefillRates,
-    Work,
-    home_of,
-    plain_ranked,
-    pool_of,
-    ranked,
+    PrefillWork,
+    build_pool,
+    home_engine,
+    rank_engines,
+    rank_plain_upstreams,
 )
 
 NOW = 1000.0
@@ -28,19 +28,19 @@
     return usual._replace(**changes)  # type: ignore[arg-type]
 
 
-WORK = Work("m", PARTS, 5000)
+WORK = PrefillWork("m", PARTS, 5000)
 
 
-def order(engines: list[EngineView], work: Work = WORK) -> list[str]:
+def order(engines: list[EngineView], work: PrefillWork = WORK) -> list[str]:
     """Ids of engines as they are ranked for a prompt, seen from one hall."""
     among = pool(engines)
-    around = Around("here", home_of(among, work, "here"), among.apart)
-    found = ranked(engines, work, PrefillRates(), around, NOW, RNG)
+    around = PlacementContext("here", home_engine(among, work, "here"), among.long_prompt_ids)
+    found = rank_engines(engines, work, PrefillRates(), around, NOW, RNG)
     return [placed.id for placed in found]
 
 
-def pool(engines: list[EngineView]) -> Pool:
-    return pool_of({engine.id: engine.hall for engine in engines})
+def pool(engines: list[EngineView]) -> EnginePool:
+    return build_pool({engine.id: engine.hall for engine in engines})
 
 
 RNG = random.Random(1)
@@ -52,12 +52,12 @@
         ({"ahead_s": 1.0}, "other prompts go before"),
         ({"others_running": 200}, "others run there"),
         ({"others_waiting": 20}, "requests wait there"),
-        ({"failing": 1.0}, "it fails"),
+        ({"failure_rate": 1.0}, "it fails"),
     ],
 )
 def test_an_engine_with_more_ahead_comes_last(worse: dict[str, object], why: str) -> None:
     engines = [engine("a"), engine("b", **worse), engine("c")]
-    assert order(engines, Work("m", (), 5000))[-1] == "b", why
+    assert order(engines, PrefillWork("m", (), 5000))[-1] == "b", why
 
 
 def test_a_kept_prompt_draws_its_request() -> None:
@@ -71,7 +71,7 @@
 
 def test_the_home_goes_first_among_equals_only() -> None:
     engines = [engine(name) for name in "abcdef"]
-    home = home_of(pool(engines), WORK, "here")
+    home = home_engine(pool(engines), WORK, "here")
     assert order(engines)[0] == home
     busy = [e._replace(ahead_s=0.3) if e.id == home else e for e in engines]
     assert order(busy)[0] != home
@@ -80,15 +80,15 @@
 def test_each_hall_that_has_engines_enough_has_a_home() -> None:
     engines = [engine(name) for name in "abcd"]
     engines += [engine(name, hall="there") for name in "efgh"]
-    assert home_of(pool(engines), WORK, "here") in set("abcd")
-    assert home_of(pool(engines), WORK, "there") in set("efgh")
+    assert home_engine(pool(engines), WORK, "here") in set("abcd")
+    assert home_engine(pool(engines), WORK, "there") in set("efgh")
 
 
 def test_halls_with_few_engines_share_a_home() -> None:
     engines = [engine(name) for name in "ab"] + [engine(name, hall="there") for name in "cd"]
-    homes = {home_of(pool(engines), WORK, hall) for hall in ("here", "there", "elsewhere")}
+    homes = {home_engine(pool(engines), WORK, hall) for hall in ("here", "there", "elsewhere")}
     assert len(homes) == 1
-    assert home_of(pool([]), WORK, "here") == ""
+    assert home_engine(pool([]), WORK, "here") == ""
 
 
 def test_a_large_request_goes_far_only_for_much() -> None:
@@ -102,49 +102,51 @@
 
 def test_all_gateways_agree_on_a_home() -> None:
     engines = [engine(name) for name in "abcdef"]
-    assert home_of(pool(engines), WORK, "here") == home_of(pool(engines[::-1]), WORK, "here")
-    assert pool(engines).apart == pool(engines[::-1]).apart
+    assert home_engine(pool(engines), WORK, "here") == home_engine(
+        pool(engines[::-1]), WORK, "here"
+    )
+    assert pool(engines).long_prompt_ids == pool(engines[::-1]).long_prompt_ids
 
 
 @pytest.mark.parametrize(("count", "apart"), [(1, 0), (5, 0), (6, 1), (9, 1), (18, 3)])
 def test_how_many_engines_long_prompts_share(count: int, apart: int) -> None:
-    assert len(pool([engine(str(i)) for i in range(count)]).apart) == apart
+    assert len(pool([engine(str(i)) for i in range(count)]).long_prompt_ids) == apart
 
 
 def test_long_prompts_go_where_others_do_not() -> None:
     engines = [engine(name) for name in "abcdefgh"]
-    (apart,) = pool(engines).apart
-    assert order(engines, Work("m", (("own", 60000),), 60000))[0] == apart
-    assert order(engines, Work("m", (("own", 900),), 900))[-1] == apart
+    (apart,) = pool(engines).long_prompt_ids
+    assert order(engines, PrefillWork("m", (("own", 60000),), 60000))[0] == apart
+    assert order(engines, PrefillWork("m", (("own", 900),), 900))[-1] == apart
 
 
 def test_the_engine_for_long_prompts_is_used_when_others_are_full() -> None:
     engines = [engine(name) for name in "abcdefgh"]
-    (apart,) = pool(engines).apart
+    (apart,) = pool(engines).long_prompt_ids
     full = [e if e.id == apart else e._replace(ahead_s=1.0) for e in engines]
-    assert order(full, Work("m", (("own", 900),), 900))[0] == apart
+    assert order(full, PrefillWork("m", (("own", 900),), 900))[0] == apart
 
 
 def test_old_reports_count_for_little() -> None:
     stale = engine("a", others_running=60, reported_at=NOW - 30)
     fresh = engine("b", others_running=30)
-    assert order([stale, fresh], Work("m", (), 100))[0] == "a"
+    assert order([stale, fresh], PrefillWork("m", (), 100))[0] == "a"
 
 
 def test_the_rate_of_a_model_is_learned() -> None:
     rates = PrefillRates()
     for _ in range(200):
-        rates.saw("slow", 10000, 0.5)
-        rates.saw("fast", 10000, 0.05)
+        rates.observe("slow", 10000, 0.5)
+        rates.observe("fast", 10000, 0.05)
     assert rates.rate_s("slow") == pytest.approx(0.5 / 10000, rel=0.1)
     assert rates.rate_s("fast") == pytest.approx(0.05 / 10000, rel=0.1)
 
 
 @pytest.mark.parametrize(
     "worse",
-    [{"latency_s": 0.2}, {"load": 4.0}, {"failing": 0.5}],
+    [{"latency_s": 0.2}, {"load": 4.0}, {"failure_rate": 0.5}],
 )
 def test_a_worse_plain_upstream_comes_last(worse: dict[str, float]) -> None:
-    good = PlainView("a", "here", 0.0, 0.03, 0.0)
+    good = PlainUpstreamView("a", "here", 0.0, 0.03, 0.0)
     bad = good._replace(id="b", **worse)  # type: ignore[arg-type]
-    assert plain_ranked([bad, good], "here", random.Random(1)) == ["a", "b"]
+    assert rank_plain_upstreams([bad, good], "here", random.Random(1)) == ["a", "b"]
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -9,9 +9,9 @@
 from ramppost.policy.admission import Admission, Entered, Full, Queued, Waiting
 from ramppost.policy.bills import attempt_id, bill_of
 from ramppost.policy.burn import budget_left, burn
-from ramppost.policy.choice import Health, Seen, order, subset
+from ramppost.policy.choice import AgentView, Ejection, choose_subset, rank_agents
 from ramppost.policy.limits import RetryBudget, TokenBucket
-from ramppost.policy.pace import Pace, Timing
+from ramppost.policy.pace import Timing, TimingBaseline
 from ramppost.policy.permissions import ModelVersion
 from ramppost.policy.rollout import (
     Counts,
@@ -59,15 +59,15 @@
 
 
 def test_what_is_slow_follows_the_stable_version() -> None:
-    pace = Pace()
-    assert not pace.slow(Timing(9.0, 9.0))
+    pace = TimingBaseline()
+    assert not pace.is_slow(Timing(9.0, 9.0))
     for _ in range(20):
-        pace.note(Timing(0.2, 0.03))
+        pace.record(Timing(0.2, 0.03))
     seen = [Timing(0.3, 0.04), Timing(0.6, 0.03), Timing(0.2, 0.08)]
-    assert [pace.slow(timing) for timing in seen] == [False, True, True]
+    assert [pace.is_slow(timing) for timing in seen] == [False, True, True]
     for _ in range(60):
-        pace.note(Timing(0.8, 0.1))
-    assert not any(pace.slow(timing) for timing in seen)
+        pace.record(Timing(0.8, 0.1))
+    assert not any(pace.is_slow(timing) for timing in seen)
 
 
 @pytest.mark.parametrize(("cap", "entries"), [(11, 2), (100, 410), (1, 3), (820, 410)])
@@ -152,26 +152,26 @@
     assert adm.offer(Waiting("e", 5, 60.0), 0) == Queued(None)
 
 
-def seen(addr: str, own: int = 0, reported: int = 0, hall: str = "bole") -> Seen:
-    return Seen(addr, hall, own, reported, 0.0, 4)
+def seen(addr: str, own: int = 0, reported: int = 0, hall: str = "bole") -> AgentView:
+    return AgentView(addr, hall, own, reported, 0.0, 4)
 
 
 def test_two_choices_avoid_the_loaded_and_the_far() -> None:
     rng = random.Random(1)
     agents = [seen("a", own=4), seen("b")]
-    assert {order(agents, 0.0, "bole", "", rng)[0] for _ in range(20)} == {"b"}
+    assert {rank_agents(agents, 0.0, "bole", "", rng)[0] for _ in range(20)} == {"b"}
     halls = [seen("near"), seen("far", hall="yeka")]
-    assert {order(halls, 0.0, "bole", "", rng)[0] for _ in range(20)} == {"near"}
+    assert {rank_agents(halls, 0.0, "bole", "", rng)[0] for _ in range(20)} == {"near"}
 
 
 def test_a_prefix_has_its_own_agent_until_that_is_loaded() -> None:
     rng = random.Random(1)
     agents = [seen(str(i)) for i in range(6)]
-    homes = {order(agents, 0.0, "bole", "prompt", rng)[0] for _ in range(20)}
+    homes = {rank_agents(agents, 0.0, "bole", "prompt", rng)[0] for _ in range(20)}
     assert len(homes) == 1
     home = homes.pop()
     loaded = [seen(a.addr, own=8) if a.addr == home else a for a in agents]
-    assert order(loaded, 0.0, "bole", "prompt", rng)[0] != home
+    assert rank_agents(loaded, 0.0, "bole", "prompt", rng)[0] != home
 
 
 def test_subsets_are_small_even_and_stable() -> None:
@@ -181,24 +181,24 @@
     ]
     counts = dict.fromkeys((box["name"] for box in boxes), 0)
     for node in range(410):
-        for box in subset(f"e{node}", boxes, 8):
+        for box in choose_subset(f"e{node}", boxes, 8):
             counts[box["name"]] += 1
     assert sum(counts.values()) == 410 * 8
     assert max(counts.values()) < 4 * 410 * 8 / 600
-    before = {b["name"] for b in subset("e1", boxes, 8)}
-    after = {b["name"] for b in subset("e1", boxes[1:], 8)}
+    before = {b["name"] for b in choose_subset("e1", boxes, 8)}
+    after = {b["name"] for b in choose_subset("e1", boxes[1:], 8)}
     assert len(before - after) <= 1
 
 
 def test_an_agent_that_fails_is_ejected_for_longer_each_time() -> None:
-    health = Health()
+    health = Ejection()
     spells = []
     for _ in range(6):
-        health.failed(100.0)
-        spells.append(health.until - 100.0 if health.ejected(100.0) else 0.0)
+        health.record_failure(100.0)
+        spells.append(health.ejected_until - 100.0 if health.is_ejected(100.0) else 0.0)
     assert spells == [0.0, 0.0, 1.0, 2.0, 4.0, 8.0]
-    health.answered()
-    assert not health.ejected(100.0)
+    health.record_success()
+    assert not health.is_ejected(100.0)
 
 
 def test_shares_of_policies_and_roll_outs() -> None:
@@ -226,7 +226,7 @@
     assert bucket.wait_s(0.0) == 5.0 and bucket.wait_s(5.1) == 0.0
     budget = RetryBudget()
     for _ in range(1000):
-        budget.tried()
+        budget.record_try()
         budget.take()
     assert budget.retries <= 0.1 * budget.tries
 
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -12,15 +12,15 @@
 import pytest
 
 from ramppost.policy.relays import (
-    DEAD_S,
-    FLAT_UP_TO,
-    FOLLOWERS,
-    FOLLOWS_A_RELAY,
-    FOLLOWS_ITS_HALL,
-    WATCHES,
-    WIDE_MBPS,
+    FOLLOWERS_PER_DISTRIBUTOR,
+    FOLLOWS_HALL_DEPTH,
+    FOLLOWS_RELAY_DEPTH,
+    MAX_FLAT_FLEET,
+    RELAY_DEPTH,
+    UNREACHABLE_SKIP_S,
+    WIDE_LINK_MBPS,
     Peers,
-    ranked_names,
+    rank_gateways,
     relay_count,
     start_hold_s,
 )
@@ -46,30 +46,30 @@
 
     def telling(self, name: str, now: float = NOW) -> set[str]:
         """Whom a gateway may ask first."""
-        return {self.views[name].to_follow("", False, now, random.Random(n)) for n in range(30)}
+        return {self.views[name].choose_source("", False, now, random.Random(n)) for n in range(30)}
 
     def dies(self, dead: str, now: float = NOW) -> None:
         """A gateway dies, and whoever followed it notices."""
         for name, peers in self.views.items():
             if name != dead and dead in self.telling(name, now):
-                peers.heard(dead, False, now)
+                peers.record_call(dead, False, now)
 
 
 @pytest.mark.parametrize("size", SIZES)
 def test_all_agree_on_who_watches_the_store(size: int) -> None:
     depths = Fleet(size).depths()
-    assert sum(depth == WATCHES for depth in depths.values()) == relay_count(size)
+    assert sum(depth == RELAY_DEPTH for depth in depths.values()) == relay_count(size)
 
 
-@pytest.mark.parametrize("size", [n for n in SIZES if n > FLAT_UP_TO])
+@pytest.mark.parametrize("size", [n for n in SIZES if n > MAX_FLAT_FLEET])
 def test_what_goes_between_halls_grows_with_halls_and_not_with_gateways(size: int) -> None:
     fleet = Fleet(size)
     for name, depth in fleet.depths().items():
         halls = {fleet.halls[teller] for teller in fleet.telling(name)}
-        if depth == FOLLOWS_ITS_HALL:
+        if depth == FOLLOWS_HALL_DEPTH:
             assert halls == {fleet.halls[name]}
-    crossing = sum(depth != FOLLOWS_ITS_HALL for depth in fleet.depths().values())
-    assert crossing <= max(len(HALLS), 1.5 * size / FOLLOWERS)
+    crossing = sum(depth != FOLLOWS_HALL_DEPTH for depth in fleet.depths().values())
+    assert crossing <= max(len(HALLS), 1.5 * size / FOLLOWERS_PER_DISTRIBUTOR)
 
 
 @pytest.mark.parametrize("size", SIZES)
@@ -78,7 +78,7 @@
     fleet = Fleet(size)
     depths = fleet.depths()
     for name, depth in depths.items():
-        if depth != WATCHES:
+        if depth != RELAY_DEPTH:
             assert all(depths[teller] < depth for teller in fleet.telling(name))
 
 
@@ -89,25 +89,27 @@
     for name, depth in fleet.depths().items():
         telling = fleet.telling(name)
         for teller in telling:
-            followers[teller] += (depth != WATCHES) / len(telling)
-    assert max(followers.values()) <= 2 * FOLLOWERS
+            followers[teller] += (depth != RELAY_DEPTH) / len(telling)
+    assert max(followers.values()) <= 2 * FOLLOWERS_PER_DISTRIBUTOR
 
 
 @pytest.mark.parametrize("size", SIZES[1:])
 def test_who_dies_is_replaced_and_takes_its_part_again(size: int) -> None:
     fleet = Fleet(size)
-    relay = next(name for name, depth in fleet.depths().items() if depth == WATCHES)
+    relay = next(name for name, depth in fleet.depths().items() if depth == RELAY_DEPTH)
     fleet.dies(relay)
     after = {name: depth for name, depth in fleet.depths(NOW + 1).items() if name != relay}
-    assert WATCHES in after.values()
-    assert fleet.depths(NOW + DEAD_S + 1)[relay] == WATCHES
-    if size > FLAT_UP_TO:
-        teller = next(name for name, depth in fleet.depths().items() if depth == FOLLOWS_A_RELAY)
+    assert RELAY_DEPTH in after.values()
+    assert fleet.depths(NOW + UNREACHABLE_SKIP_S + 1)[relay] == RELAY_DEPTH
+    if size > MAX_FLAT_FLEET:
+        teller = next(
+            name for name, depth in fleet.depths().items() if depth == FOLLOWS_RELAY_DEPTH
+        )
         fleet.dies(teller, NOW + 20)
         hall = fleet.halls[teller]
         near = [name for name in fleet.halls if fleet.halls[name] == hall and name != teller]
         depths = fleet.depths(NOW + 21)
-        assert any(depths[name] < FOLLOWS_ITS_HALL for name in near)
+        assert any(depths[name] < FOLLOWS_HALL_DEPTH for name in near)
 
 
 @pytest.mark.parametrize("size", SIZES)
@@ -124,17 +126,17 @@
 
 
 def test_a_small_fleet_follows_its_relay_directly() -> None:
-    assert set(Fleet(6).depths().values()) == {WATCHES, FOLLOWS_A_RELAY}
+    assert set(Fleet(6).depths().values()) == {RELAY_DEPTH, FOLLOWS_RELAY_DEPTH}
 
 
 @pytest.mark.parametrize("size", SIZES)
 def test_a_stop_is_told_to_those_that_callers_come_to(size: int) -> None:
     fleet = Fleet(size)
-    near = {name: set(peers.near()) for name, peers in fleet.views.items()}
+    near = {name: set(peers.local_peers()) for name, peers in fleet.views.items()}
     hall = fleet.halls["g0"]
     same = {name for name in fleet.halls if fleet.halls[name] == hall and name != "g0"}
-    assert near["g0"] == (same if size > FLAT_UP_TO else set(fleet.halls) - {"g0"})
-    assert sum(len(found) for found in near.values()) <= size * max(FLAT_UP_TO, size / 5)
+    assert near["g0"] == (same if size > MAX_FLAT_FLEET else set(fleet.halls) - {"g0"})
+    assert sum(len(found) for found in near.values()) <= size * max(MAX_FLAT_FLEET, size / 5)
 
 
 # --- small fleets
@@ -164,7 +166,7 @@
             peers.put(name, "addr", "", mbps)
     relays = views[0].relays(NOW)
     assert all(peers.relays(NOW) == relays for peers in views)
-    assert [links[name] > WIDE_MBPS for name in relays] == [True] * relay_count(23)
+    assert [links[name] > WIDE_LINK_MBPS for name in relays] == [True] * relay_count(23)
     assert relays != sorted(links, key=lambda n: -links[n])[: relay_count(23)], "wide is wide"
 
 
@@ -182,31 +184,31 @@
 
 
 def test_the_next_in_rank_follows_a_dead_relay_and_yields_again() -> None:
-    names = ranked_names([f"g{i}" for i in range(8)])
+    names = rank_gateways([f"g{i}" for i in range(8)])
     peers = Peers(names[relay_count(8)])
     list_all(peers, names)
     assert not peers.is_relay(NOW)
-    peers.heard(names[0], False, NOW)
+    peers.record_call(names[0], False, NOW)
     assert peers.is_relay(NOW + 1)
-    assert not peers.is_relay(NOW + DEAD_S + 1)
-    peers.heard(names[0], True, NOW + 1)
+    assert not peers.is_relay(NOW + UNREACHABLE_SKIP_S + 1)
+    peers.record_call(names[0], True, NOW + 1)
     assert not peers.is_relay(NOW + 1)
 
 
 def test_a_relay_that_helps_is_kept_and_others_are_tried_where_none_does() -> None:
-    names = ranked_names([f"g{i}" for i in range(29)])
+    names = rank_gateways([f"g{i}" for i in range(29)])
     peers = Peers(names[-1])
     list_all(peers, names)
     rng = random.Random(1)
     # All in one hall: those who tell it are the first three, of which the first is the relay.
     telling = set(names[:3])
-    assert {peers.to_follow("", False, NOW, rng) for _ in range(50)} == telling
-    assert {peers.to_follow(names[1], True, NOW, rng) for _ in range(50)} == {names[1]}
-    assert {peers.to_follow(names[1], False, NOW, rng) for _ in range(900)} == set(names[:-1])
+    assert {peers.choose_source("", False, NOW, rng) for _ in range(50)} == telling
+    assert {peers.choose_source(names[1], True, NOW, rng) for _ in range(50)} == {names[1]}
+    assert {peers.choose_source(names[1], False, NOW, rng) for _ in range(900)} == set(names[:-1])
 
 
 def test_nobody_is_followed_where_all_are_dead() -> None:
     peers = Peers("a")
     list_all(peers, ["a", "b"])
-    peers.heard("b", False, NOW)
-    assert peers.to_follow("b", True, NOW, random.Random(1)) == ""
+    peers.record_call("b", False, NOW)
+    assert peers.choose_source("b", True, NOW, random.Random(1)) == ""
--- a/tests/test_relief.py
+++ b/tests/test_relief.py
@@ -19,7 +19,7 @@
 
 import pytest
 
-from ramppost.policy.pressure import USUAL_READ_S, Pressure, threshold_under
+from ramppost.policy.pressure import TYPICAL_READ_S, Pressure, relaxed_threshold
 
 GATEWAYS = 32
 ENGINES = 6
@@ -39,11 +39,11 @@
 
 
 def by_load(pressure: Pressure, least_wait_s: float, read_s: float, now: float) -> float:
-    return threshold_under(THRESHOLD, pressure.shortage(now, least_wait_s), read_s)
+    return relaxed_threshold(THRESHOLD, pressure.shortage(now, least_wait_s), read_s)
 
 
 def by_own_answers(pressure: Pressure, least_wait_s: float, read_s: float, now: float) -> float:
-    return threshold_under(THRESHOLD, pressure.shortage(now), USUAL_READ_S)
+    return relaxed_threshold(THRESHOLD, pressure.shortage(now), TYPICAL_READ_S)
 
 
 class Prompt(NamedTuple):
@@ -110,7 +110,7 @@
 
     def answered(self, prompt: Prompt, waited_s: float, now: float) -> None:
         pressure = self.pressures[prompt.gateway]
-        pressure.waited(waited_s, now)
+        pressure.record_wait(waited_s, now)
         read_s = prompt.tokens * LARGE_TOKEN_S
         least_wait_s = max(0.0, min(self.known_free_at) - now)
         in_time = now + least_wait_s + read_s <= prompt.at + OBJECTIVE_S
--- a/tests/test_retry_slack.py
+++ b/tests/test_retry_slack.py
@@ -42,7 +42,9 @@
     """Retries that a fleet makes where engines crash after so many tries within a window."""
     rng = random.Random(3)
     for number in range(tries):
-        budgets[rng.randrange(len(budgets))].tried(NOW + WINDOW_S * 0.9 * number / max(1, tries))
+        budgets[rng.randrange(len(budgets))].record_try(
+            NOW + WINDOW_S * 0.9 * number / max(1, tries)
+        )
     at = NOW + WINDOW_S * 0.92
     taken = 0
     for budget in budgets:
@@ -68,11 +70,11 @@
 
 def test_the_part_follows_the_list() -> None:
     gw = Gateway(SETTINGS)
-    before = gw.budget_of(SERVICE).left(NOW)
+    before = gw.budget_of(SERVICE).available(NOW)
     for number in range(40):
         gw.peers.put(f"other-{number}", f"10.0.0.{number}:7000")
-    listed = gw.budget_of(SERVICE).left(NOW)
+    listed = gw.budget_of(SERVICE).available(NOW)
     for number in range(40, 200):
         gw.peers.put(f"other-{number}", f"10.0.0.{number}:7000")
-    assert gw.budget_of(SERVICE).left(NOW) < listed
+    assert gw.budget_of(SERVICE).available(NOW) < listed
     assert before <= listed
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -21,12 +21,12 @@
 import pytest
 
 from ramppost import clock
-from ramppost.policy.relays import ranked_names
+from ramppost.policy.relays import rank_gateways
 from ramppost.wire.client import STALL_S, Answer, CallFailed, Pool, call, fetch
 from tests.harness.gateways import HOST, KEYS, Deployment, config, route
 from tests.harness.proxy import Proxy
 
-RELAY, FOLLOWER = ranked_names(["gateway-1", "gateway-2"])
+RELAY, FOLLOWER = rank_gateways(["gateway-1", "gateway-2"])
 TIMING = {"upstream_leave_ms": 2000, "config_apply_ms": 2000, "withdrawal_ms": 5000}
 NOTICED_S = 2.4
 """A relay is found silent after 1.4 s, the store after 1.6 s; the next silent connection would
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -27,7 +27,7 @@
 from ramppost.gateway.watchers import take_config, upstream_changed
 from ramppost.platform import names
 from ramppost.platform.store import Change, Snapshot, StoredObject
-from ramppost.policy.backlog import Reading
+from ramppost.policy.backlog import PendingPrompt
 from ramppost.policy.warmup import WINDOW_S, SentWindow, share_of
 from ramppost.schema.settings import GatewaySettings
 from tests.harness.gateways import STREAM, Deployment, config
@@ -139,7 +139,7 @@
             returning = number < 7
             upstream_changed(gw, Change(entry(number, 3000.0 if returning else 0.0), removed=False))
             if not returning:
-                busy = Reading(now, 1.0, 0, "small", ())
+                busy = PendingPrompt(now, 1.0, 0, "small", ())
                 found = next(u for u in gw.members.all() if u.id == f"i-{number}")
                 gw.backlogs.sent(found, "busy", busy)
     sent: dict[str, list[float]] = {}
