--- a/bench/choosing.py
+++ b/bench/choosing.py
@@ -19,7 +19,7 @@
 from ramppost.gateway.model import Prompt, Route, Upstream
 from ramppost.gateway.pick import asked_about, pick
 from ramppost.gateway.state import Gateway
-from ramppost.gateway.watchers import take_config
+from ramppost.gateway.watchers import apply_config
 from ramppost.platform import names
 from ramppost.platform.headers import caller_request
 from ramppost.platform.store import StoredObject
@@ -39,7 +39,7 @@
 def fleet(engines: int, gateways: int) -> Gateway:
     """A gateway that knows so many engines and gateways."""
     gw = Gateway(SETTINGS)
-    take_config(gw, StoredObject(names.CONFIG_NAME, 1, config(1), None))
+    apply_config(gw, StoredObject(names.CONFIG_NAME, 1, config(1), None))
     for number in range(engines):
         hall = HALLS[number % len(HALLS)]
         gw.members.put(Upstream(f"i-{number}", "10.0.0.1:80", "lm", hall, "v1", 24, False, 7))
--- a/ramppost/gateway/__main__.py
+++ b/ramppost/gateway/__main__.py
@@ -14,10 +14,10 @@
 
 def _main() -> None:
     path = os.environ.get("RAMPPOST_CONFIG", "")
-    early = listen_early(path)
+    early_socket = listen_early(path)
     from ramppost.gateway.main import main
 
-    main(path, early)
+    main(path, early_socket)
 
 
 _main()
--- a/ramppost/gateway/admit.py
+++ b/ramppost/gateway/admit.py
@@ -35,14 +35,14 @@
     route = find_route(table, req.host, req.target)
     if route is None:
         return _final(fresh, "not_found", f"no route for {req.target.partition('?')[0]}")
-    if gw.refusing == "all" or (gw.refusing == "streams" and route.streams):
+    if gw.refusal_scope == "all" or (gw.refusal_scope == "streams" and route.streams):
         return refusal("leaving", "this gateway is stopping", retry_after_s(gw))
     if table.keys is None:
         return Admitted(route, None)
     workspace = table.keys.get(req.key) if req.key else None
     if workspace is None and not route.anonymous:
         return _final(fresh, "unauthorized", "unknown key" if req.key else "no key")
-    if workspace is not None and not gw.fresh.may_start(now):
+    if workspace is not None and not gw.freshness.may_start(now):
         return stale()
     return Admitted(route, workspace)
 
@@ -54,7 +54,7 @@
     up to 4.7 s by a gateway that had lost its relay and the store.
     """
     allowed_s = gw.cfg["timing"]["config_apply_ms"] / 1000
-    return gw.fresh.holds(now) and gw.fresh.age(now) < allowed_s
+    return gw.freshness.holds(now) and gw.freshness.age(now) < allowed_s
 
 
 def find_route(table: RoutingTable, host: str, target: str) -> Route | None:
--- a/ramppost/gateway/attempt.py
+++ b/ramppost/gateway/attempt.py
@@ -69,7 +69,7 @@
     reading = _reading(gw, job, chosen, model, now)
     key = f"{job.req.attempt_id[:KEY_CHARS]}-{next(_numbers)}"
     if reading is not None:
-        gw.rates.record_sent(reading.read_s)
+        gw.prefill_rates.record_sent(reading.read_s)
         gw.backlogs.sent(upstream, key, reading)
     got: Running | Refused | NotSent | Broken = Broken("cancelled")
     try:
@@ -146,7 +146,7 @@
     """What is sent, with the time that is left now: a box may have been suspended, or a process
     frozen, while the connection was made."""
     now = clock.now()
-    if job.workspace is not None and not gw.fresh.may_start(now):
+    if job.workspace is not None and not gw.freshness.may_start(now):
         return NotSent("not sent: the confirmation of its key grew old on the way", withheld=True)
     if job.left_s(now) <= 0:
         return NotSent("not sent: its time passed on the way", withheld=True)
@@ -183,7 +183,7 @@
             return got
         except curio.TaskTimeout:
             heard_at = gw.links.heard.get(chosen.upstream.key, float("-inf"))
-            affordable = gw.budget_of(chosen.service.name).available(clock.now()) >= 1
+            affordable = gw.retry_budget_of(chosen.service.name).available(clock.now()) >= 1
             if heard_at < since and affordable and chosen.candidates > 1:
                 return Broken(f"silent for {patience_s:.2f} s")
             since = clock.now()
@@ -192,10 +192,10 @@
 def _learn_engine(gw: Gateway, chosen: Chosen, model: str, first_s: float) -> None:
     """Remember how fast a model read, and how long its prompt waited."""
     now = clock.now()
-    read = chosen.prefill_s / gw.rates.rate_s(model)
+    read = chosen.prefill_s / gw.prefill_rates.rate_s(model)
     queued_s = chosen.first_s - chosen.prefill_s
     gw.pressure.record_wait(first_s - chosen.prefill_s, now)
-    gw.rates.observe(model, read, max(0.0, first_s - queued_s))
+    gw.prefill_rates.observe(model, read, max(0.0, first_s - queued_s))
 
 
 def _note(
--- a/ramppost/gateway/backlogs.py
+++ b/ramppost/gateway/backlogs.py
@@ -21,7 +21,7 @@
 
 from ramppost import clock
 from ramppost.gateway.datagrams import Address, Datagrams
-from ramppost.gateway.early import address
+from ramppost.gateway.early import parse_address
 from ramppost.gateway.metrics import Metrics
 from ramppost.gateway.model import Upstream
 from ramppost.policy.backlog import Backlog, PendingPrompt
@@ -183,7 +183,7 @@
                 model=question.model,
                 parts=list(question.parts),
             )
-            self._datagrams.send(address(self._peers.addrs[keeper]), PeerDatagram(ask=ask))
+            self._datagrams.send(parse_address(self._peers.addrs[keeper]), PeerDatagram(ask=ask))
         try:
             await curio.ignore_after(ASK_TIMEOUT_S, asked.answered.wait)
         finally:
@@ -208,7 +208,7 @@
     def _tell_keeper(self, engine: Upstream, msg: PeerDatagram) -> None:
         keeper = self.keeper(engine, clock.now())
         if keeper not in ("", self.own):
-            self._datagrams.send(address(self._peers.addrs[keeper]), msg)
+            self._datagrams.send(parse_address(self._peers.addrs[keeper]), msg)
 
     # --- what others send
 
--- a/ramppost/gateway/copies.py
+++ b/ramppost/gateway/copies.py
@@ -12,7 +12,7 @@
 from typing import Final, NamedTuple
 
 from ramppost import clock
-from ramppost.gateway.follow import Followed
+from ramppost.gateway.follow import KindReplica
 from ramppost.gateway.state import Gateway
 from ramppost.platform.store import StoredObject
 from ramppost.schema.messages import ObjectCopy
@@ -40,7 +40,7 @@
 
     async def handle(req: Request, reply: Reply) -> None:
         kind, name = req.query.get("kind", ""), req.query.get("name", "")
-        followed = gw.followed.get(kind)
+        followed = gw.replicas.get(kind)
         obj = await _had(gw, followed, name) if followed is not None else None
         if obj is None or obj.revision < _revision(req):
             await reply.send(404, encode({"error": "not here, or not as new"}))
@@ -53,12 +53,12 @@
     return handle
 
 
-async def _had(gw: Gateway, followed: Followed, name: str) -> StoredObject | None:
+async def _had(gw: Gateway, followed: KindReplica, name: str) -> StoredObject | None:
     """The object, also where it is here in a moment."""
     until = clock.now() + WAIT_S
-    while name in followed.lacking and (left_s := until - clock.now()) > 0:
-        await gw.news.wait(left_s)
-    return followed.whole(name)
+    while name in followed.pending and (left_s := until - clock.now()) > 0:
+        await gw.updates.wait(left_s)
+    return followed.complete_object(name)
 
 
 def _revision(req: Request) -> float:
--- a/ramppost/gateway/departures.py
+++ b/ramppost/gateway/departures.py
@@ -12,7 +12,7 @@
 from loguru import logger
 
 from ramppost import clock
-from ramppost.gateway.early import address
+from ramppost.gateway.early import parse_address
 from ramppost.gateway.state import Gateway
 from ramppost.policy.departures import retry_delay_s
 from ramppost.schema.messages import LeavingNote, PeerDatagram
@@ -27,10 +27,10 @@
 async def tell_leaving(gw: Gateway) -> None:
     """Tell the gateways that its callers may come to when this one is back, until cancelled."""
     while True:
-        back_s = max(0.0, gw.back_at - clock.now())
+        back_s = max(0.0, gw.resume_at - clock.now())
         note = LeavingNote(name=gw.cfg["name"], back_ms=round(back_s * 1000))
         for name in gw.peers.local_peers():
-            gw.datagrams.send(address(gw.peers.addrs[name]), PeerDatagram(leaving=note))
+            gw.datagrams.send(parse_address(gw.peers.addrs[name]), PeerDatagram(leaving=note))
         await curio.sleep(TELL_EVERY_S)
 
 
@@ -47,4 +47,4 @@
     """When a caller that is turned away because of the stop is to come back."""
     now = clock.now()
     others = {name: gw.peers.back_at(name, now) for name in gw.peers.local_peers()}
-    return retry_delay_s(now, gw.back_at, others)
+    return retry_delay_s(now, gw.resume_at, others)
--- a/ramppost/gateway/early.py
+++ b/ramppost/gateway/early.py
@@ -9,17 +9,17 @@
 import json
 import socket
 
-BACKLOG = 1024
-COMMENT = "//"
+LISTEN_BACKLOG = 1024
+COMMENT_PREFIX = "//"
 
 
-def without_comments(text: str) -> str:
+def strip_comments(text: str) -> str:
     """The text without lines that are comments; line numbers stay as they are."""
     lines = text.split("\n")
-    return "\n".join("" if line.lstrip().startswith(COMMENT) else line for line in lines)
+    return "\n".join("" if line.lstrip().startswith(COMMENT_PREFIX) else line for line in lines)
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """Host and port of `ip:port`."""
     host, _, port = text.rpartition(":")
     return host, int(port)
@@ -29,11 +29,11 @@
     """A socket that listens on the address of the settings, or None."""
     try:
         with open(path, encoding="utf-8") as file:
-            cfg = json.loads(without_comments(file.read()))
+            cfg = json.loads(strip_comments(file.read()))
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.bind(address(cfg["listen"]))
-        sock.listen(BACKLOG)
+        sock.bind(parse_address(cfg["listen"]))
+        sock.listen(LISTEN_BACKLOG)
         sock.setblocking(False)
     except (OSError, ValueError, KeyError, AttributeError, TypeError):
         return None
--- a/ramppost/gateway/escalation.py
+++ b/ramppost/gateway/escalation.py
@@ -27,7 +27,7 @@
     if got.head.status >= 400 or good_enough(plan, got.model, got.head.confidence):
         return ""
     now = clock.now()
-    if job.tries >= job.route.attempts or gw.budget_of(service).available(now) < 1:
+    if job.tries >= job.route.attempts or gw.retry_budget_of(service).available(now) < 1:
         return ""
     tried, job.tried = job.tried, set()
     await look(gw, job, service, plan.models[-1])
--- a/ramppost/gateway/events.py
+++ b/ramppost/gateway/events.py
@@ -28,7 +28,7 @@
         self._buf = bytearray()
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """What came after the last whole event."""
         return bytes(self._buf)
 
--- a/ramppost/gateway/fatal.py
+++ b/ramppost/gateway/fatal.py
@@ -18,7 +18,7 @@
 
 from ramppost import clock
 from ramppost.gateway.datagrams import Datagrams
-from ramppost.gateway.early import address
+from ramppost.gateway.early import parse_address
 from ramppost.gateway.links import Exchange
 from ramppost.gateway.metrics import Metrics
 from ramppost.policy.fatal import (
@@ -184,7 +184,7 @@
 
     def _tell_all(self, msg: PeerDatagram) -> None:
         for name in self._peers.evidence_collectors(clock.now()):
-            self._datagrams.send(address(self._peers.addrs[name]), msg)
+            self._datagrams.send(parse_address(self._peers.addrs[name]), msg)
 
     # --- judging
 
--- a/ramppost/gateway/loading.py
+++ b/ramppost/gateway/loading.py
@@ -17,7 +17,7 @@
 
 from ramppost import clock
 from ramppost.gateway.copies import COPY_PATH, unpack
-from ramppost.gateway.follow import FIRST_BACKOFF_S, MAX_BACKOFF_S, Followed, Lacking
+from ramppost.gateway.follow import FIRST_BACKOFF_S, MAX_BACKOFF_S, KindReplica, PendingObject
 from ramppost.gateway.state import Gateway
 from ramppost.platform.store import Missing, StoredObject, Unavailable, read
 from ramppost.wire.client import CallFailed, fetch
@@ -25,40 +25,40 @@
 
 COPY_TIMEOUT_S: Final = 0.5
 """Until a gateway's answer begins: one that is busy sending to others is passed over."""
-IDLE_S: Final = 5.0
+IDLE_POLL_S: Final = 5.0
 """How long to wait for news before looking again all the same."""
 
 
-class Failed(NamedTuple):
+class LoadFailed(NamedTuple):
     """Why a source did not give an object."""
 
     reason: str
 
 
-class Source(NamedTuple):
+class ObjectSource(NamedTuple):
     """Where an object may be had: a name for the log, and how to ask."""
 
     name: str
-    ask: Callable[[], Awaitable[StoredObject | Failed]]
+    ask: Callable[[], Awaitable[StoredObject | LoadFailed]]
 
 
-class Wanted(NamedTuple):
+class LoadTask(NamedTuple):
     """An object to load: its kind, its name and what is known of it."""
 
-    followed: Followed
+    replica: KindReplica
     name: str
-    lacking: Lacking
+    pending: PendingObject
 
 
-async def load_lacking(gw: Gateway) -> None:
+async def load_pending(gw: Gateway) -> None:
     """Load whatever is lacking, until cancelled."""
     backoff_s = FIRST_BACKOFF_S
     while True:
-        wanted = _all_wanted(gw)
-        if not wanted:
-            await gw.news.wait(IDLE_S)
+        tasks = _load_tasks(gw)
+        if not tasks:
+            await gw.updates.wait(IDLE_POLL_S)
             continue
-        loaded = [await load_once(gw, one) for one in wanted]
+        loaded = [await load_object(gw, task) for task in tasks]
         if any(loaded):
             backoff_s = FIRST_BACKOFF_S
             continue
@@ -66,81 +66,81 @@
         backoff_s = min(MAX_BACKOFF_S, backoff_s * 2)
 
 
-def _all_wanted(gw: Gateway) -> list[Wanted]:
+def _load_tasks(gw: Gateway) -> list[LoadTask]:
     return [
-        Wanted(followed, name, lacking)
-        for followed in gw.followed.values()
-        for name, lacking in followed.lacking.items()
+        LoadTask(replica, name, pending)
+        for replica in gw.replicas.values()
+        for name, pending in replica.pending.items()
     ]
 
 
-async def load_once(gw: Gateway, wanted: Wanted) -> bool:
+async def load_object(gw: Gateway, task: LoadTask) -> bool:
     """Ask one source after the other; whether one of them gave the object."""
-    for source in _sources(gw, wanted):
+    for source in _sources(gw, task):
         began = clock.now()
         got = await source.ask()
         now = clock.now()
-        result = "failed" if isinstance(got, Failed) else "loaded"
+        result = "failed" if isinstance(got, LoadFailed) else "loaded"
         gw.metrics.count("ramppost_large_objects_total", result=result)
         logger.info(
             "large object {}",
-            f"not loaded: {got.reason}" if isinstance(got, Failed) else "loaded",
-            kind=wanted.followed.kind,
-            name=wanted.name,
-            revision=wanted.lacking.revision,
+            f"not loaded: {got.reason}" if isinstance(got, LoadFailed) else "loaded",
+            kind=task.replica.kind,
+            name=task.name,
+            revision=task.pending.revision,
             source=source.name,
             took_s=round(now - began, 3),
-            lacking_s=round(now - wanted.lacking.since, 3),
+            lacking_s=round(now - task.pending.since, 3),
         )
         if isinstance(got, StoredObject):
-            await wanted.followed.loaded(got)
+            await task.replica.apply_object(got)
             return True
     return False
 
 
-def _sources(gw: Gateway, wanted: Wanted) -> list[Source]:
+def _sources(gw: Gateway, task: LoadTask) -> list[ObjectSource]:
     """Whom to ask, in order: a store that is failing comes last.
 
     Whoever told of the object is asked even where it lags behind the store: it has the object,
     and reading that from the store took 2.2 s of a link of 0.5 MB/s.
     """
-    told_by = wanted.lacking.told_by
-    others = [name for name in gw.peers.alive(clock.now()) if name != told_by]
-    teller = [_peer(gw, wanted, told_by)] if told_by in gw.peers.addrs else []
-    other = [_peer(gw, wanted, gw.rng.choice(others))] if others else []
-    store = [Source("store", lambda: _from_store(gw, wanted))]
-    if gw.outage.failing_since is not None:
-        return teller + other + store
-    return teller + store + other
+    origin = task.pending.source
+    others = [name for name in gw.peers.alive(clock.now()) if name != origin]
+    origin_source = [_peer_source(gw, task, origin)] if origin in gw.peers.addrs else []
+    other = [_peer_source(gw, task, gw.rng.choice(others))] if others else []
+    store = [ObjectSource("store", lambda: _read_from_store(gw, task))]
+    if gw.store_outage.failing_since is not None:
+        return origin_source + other + store
+    return origin_source + store + other
 
 
-def _peer(gw: Gateway, wanted: Wanted, name: str) -> Source:
-    return Source(name, lambda: _from_peer(gw, wanted, name))
+def _peer_source(gw: Gateway, task: LoadTask, name: str) -> ObjectSource:
+    return ObjectSource(name, lambda: _read_from_peer(gw, task, name))
 
 
-async def _from_peer(gw: Gateway, wanted: Wanted, peer: str) -> StoredObject | Failed:
+async def _read_from_peer(gw: Gateway, task: LoadTask, peer: str) -> StoredObject | LoadFailed:
     """Another gateway's copy, if that is as new as what was told of."""
     query = {
-        "kind": wanted.followed.kind,
-        "name": wanted.name,
-        "revision": wanted.lacking.revision,
+        "kind": task.replica.kind,
+        "name": task.name,
+        "revision": task.pending.revision,
     }
     path = f"{COPY_PATH}?{urlencode(query)}"
     addr = gw.peers.addrs[peer]
     got = await fetch(gw.store.pool, addr, "GET", path, timeout_s=COPY_TIMEOUT_S)
     if isinstance(got, CallFailed):
-        return Failed(got.reason)
+        return LoadFailed(got.reason)
     if got.status != 200:
-        return Failed(f"status {got.status}")
-    obj = unpack(wanted.name, got.body)
-    return Failed(obj.reason) if isinstance(obj, BadMessage) else obj
+        return LoadFailed(f"status {got.status}")
+    obj = unpack(task.name, got.body)
+    return LoadFailed(obj.reason) if isinstance(obj, BadMessage) else obj
 
 
-async def _from_store(gw: Gateway, wanted: Wanted) -> StoredObject | Failed:
+async def _read_from_store(gw: Gateway, task: LoadTask) -> StoredObject | LoadFailed:
     """The object as it stands in the store now."""
-    got = await read(gw.store, wanted.followed.kind, wanted.name)
+    got = await read(gw.store, task.replica.kind, task.name)
     if isinstance(got, Unavailable):
-        return Failed(got.reason)
+        return LoadFailed(got.reason)
     if isinstance(got, Missing):
-        return Failed("removed from the store")
+        return LoadFailed("removed from the store")
     return got
--- a/ramppost/gateway/main.py
+++ b/ramppost/gateway/main.py
@@ -15,12 +15,12 @@
 from ramppost.errors import error_body, refusal
 from ramppost.gateway.datagrams import Address, Take
 from ramppost.gateway.departures import RESTART_S, heard_leaving, tell_leaving
-from ramppost.gateway.early import address
+from ramppost.gateway.early import parse_address
 from ramppost.gateway.fatal_doc import keep_document
 from ramppost.gateway.inbound import BadRequest, Doorway, accept_callers
 from ramppost.gateway.joining import join
-from ramppost.gateway.loading import load_lacking
-from ramppost.gateway.operators import internal
+from ramppost.gateway.loading import load_pending
+from ramppost.gateway.operators import internal_handler
 from ramppost.gateway.rollout_duty import drive_rollouts
 from ramppost.gateway.serve import serve
 from ramppost.gateway.settings import BadSettings, read_settings
@@ -31,62 +31,68 @@
 from ramppost.wire.server import serve as serve_http
 from ramppost.wire.signals import Signals
 
-BAD_SETTINGS: Final = 2
+BAD_SETTINGS_EXIT_CODE: Final = 2
 SETTINGS_POLL_S: Final = 1.0
-LEAST_STOP_S: Final = 2.5
+MIN_STOP_S: Final = 2.5
 """The balancer asks every second and takes a box out after two misses; then idle connections
 are closed, and streams that still come in are refused, since they may outlast the stop."""
 STOP_MARGIN_S: Final = 0.7
 """Kept from the time a planned stop may take, to end by ourselves."""
-LONGEST_CALL_S: Final = 1.5
+MAX_PLAIN_CALL_S: Final = 1.5
 """What a plain call may take: the last ones are taken so long before a stop's end."""
-FIRST_STATE_S: Final = 0.4
+INITIAL_STATE_TIMEOUT_S: Final = 0.4
 """The store answers in milliseconds; without it, callers are soon told to come back."""
-FIRST_STATE_POLL_S: Final = 0.005
+INITIAL_STATE_POLL_S: Final = 0.005
 STOP_POLL_S: Final = 0.05
-METRICS_TYPE: Final = "text/plain; version=0.0.4"
+METRICS_CONTENT_TYPE: Final = "text/plain; version=0.0.4"
 
 
-def main(path: str, early: socket.socket | None = None) -> None:
+def main(path: str, early_socket: socket.socket | None = None) -> None:
     """Run a gateway with a settings file; `early` already listens where callers connect."""
     cfg = read_settings(path)
     if isinstance(cfg, BadSettings):
         print(cfg.reason, file=sys.stderr)
-        sys.exit(BAD_SETTINGS)
+        sys.exit(BAD_SETTINGS_EXIT_CODE)
     logs.set_up_stdout(cfg["log"], cfg["name"])
     signals = Signals((signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
     kernel = curio.Kernel()
-    kernel.run(run, cfg, path, signals, early)
+    kernel.run(run, cfg, path, signals, early_socket)
     os._exit(0)
 
 
 async def run(
-    cfg: GatewaySettings, path: str, signals: Signals, early: socket.socket | None
+    cfg: GatewaySettings, path: str, signals: Signals, early_socket: socket.socket | None
 ) -> None:
     """Run until a signal asks for a planned stop."""
     gw = Gateway(cfg)
     logger.info("starting", addr=cfg["listen"], hall=cfg["hall"], store=cfg["store"]["addr"])
     await curio.spawn(join, gw, daemon=True)
     await curio.spawn(drive_rollouts, gw, daemon=True)
-    await curio.spawn(serve_http, listen(*address(cfg["health"])), _health(gw), daemon=True)
+    await curio.spawn(
+        serve_http, listen(*parse_address(cfg["health"])), _health_handler(gw), daemon=True
+    )
     inner = listen(cfg["ip"], cfg["internal_port"])
-    await curio.spawn(serve_http, inner, internal(gw), daemon=True)
+    await curio.spawn(serve_http, inner, internal_handler(gw), daemon=True)
     await curio.spawn(
-        gw.datagrams.listen, cfg["ip"], cfg["internal_port"], _datagrams(gw), daemon=True
+        gw.datagrams.listen, cfg["ip"], cfg["internal_port"], _datagram_handler(gw), daemon=True
     )
-    await curio.spawn(load_lacking, gw, daemon=True)
+    await curio.spawn(load_pending, gw, daemon=True)
     await curio.spawn(gw.fatal.tell, daemon=True)
     await curio.spawn(keep_document, gw, daemon=True)
     metrics = listen(cfg["ip"], cfg["metrics_port"])
-    await curio.spawn(serve_http, metrics, _metrics(gw), daemon=True)
+    await curio.spawn(serve_http, metrics, _metrics_handler(gw), daemon=True)
     doorway = Doorway(
         limits=lambda: gw.limits,
-        closing=lambda: gw.leaving,
+        closing=lambda: gw.draining,
         serve=lambda req, reply, read_at: serve(gw, req, reply, read_at),
-        refuse=_unreadable,
+        refuse=_bad_request_body,
+    )
+    await _wait_for_initial_state(gw)
+    callers = (
+        curio.io.Socket(early_socket)
+        if early_socket is not None
+        else listen(*parse_address(cfg["listen"]))
     )
-    await _first_state(gw)
-    callers = curio.io.Socket(early) if early is not None else listen(*address(cfg["listen"]))
     await curio.spawn(accept_callers, callers, gw.callers, doorway, daemon=True)
     await curio.spawn(_poll_settings, gw, path, daemon=True)
     while (number := await signals.wait()) == signal.SIGHUP:
@@ -94,11 +100,11 @@
     await _stop(gw, number)
 
 
-async def _first_state(gw: Gateway) -> None:
+async def _wait_for_initial_state(gw: Gateway) -> None:
     """Wait for a configuration and upstreams, so that the first callers are not refused."""
-    until = clock.now() + FIRST_STATE_S
+    until = clock.now() + INITIAL_STATE_TIMEOUT_S
     while clock.now() < until and (gw.table is None or not gw.members_listed):
-        await curio.sleep(FIRST_STATE_POLL_S)
+        await curio.sleep(INITIAL_STATE_POLL_S)
 
 
 def reload_settings(gw: Gateway, path: str) -> None:
@@ -114,16 +120,16 @@
 
 async def _poll_settings(gw: Gateway, path: str) -> None:
     """Reload when the file changes without a signal."""
-    seen = _modified(path)
+    seen = _modified_at(path)
     while True:
         await curio.sleep(SETTINGS_POLL_S)
-        now = _modified(path)
+        now = _modified_at(path)
         if now != seen:
             seen = now
             reload_settings(gw, path)
 
 
-def _modified(path: str) -> float:
+def _modified_at(path: str) -> float:
     try:
         return os.stat(path).st_mtime
     except OSError:
@@ -133,22 +139,22 @@
 async def _stop(gw: Gateway, number: int) -> None:
     """Planned stop: not ready at once, new work taken until callers have gone, none cut."""
     began = clock.now()
-    gw.leaving = True
+    gw.draining = True
     logger.info("stopping", signal=number, busy=gw.callers.busy)
     until = began + gw.cfg["timing"]["stop_s"] - STOP_MARGIN_S
-    gw.back_at = until + RESTART_S
+    gw.resume_at = until + RESTART_S
     await curio.spawn(tell_leaving, gw, daemon=True)
-    await curio.sleep(LEAST_STOP_S)
-    gw.refusing = "streams"
+    await curio.sleep(MIN_STOP_S)
+    gw.refusal_scope = "streams"
     while (now := clock.now()) < until and gw.callers.busy:
-        if now > until - LONGEST_CALL_S:
-            gw.refusing = "all"
+        if now > until - MAX_PLAIN_CALL_S:
+            gw.refusal_scope = "all"
         gw.callers.close_idle()
         await curio.sleep(STOP_POLL_S)
     logger.info("stopped", left_busy=gw.callers.busy, after_s=round(now - began, 2))
 
 
-def _datagrams(gw: Gateway) -> Take:
+def _datagram_handler(gw: Gateway) -> Take:
     """What becomes of datagrams of other gateways."""
 
     async def take(msg: PeerDatagram, addr: Address) -> None:
@@ -164,27 +170,27 @@
     return take
 
 
-def _unreadable(bad: BadRequest) -> bytes:
+def _bad_request_body(bad: BadRequest) -> bytes:
     code = {408: "too_slow", 413: "too_large", 431: "too_large"}.get(bad.status, "bad_request")
     logger.info("request not read: {}", bad.reason, status=bad.status)
     return error_body(refusal(code, bad.reason))
 
 
-def _health(gw: Gateway) -> Handler:
+def _health_handler(gw: Gateway) -> Handler:
     async def handle(req: Request, reply: Reply) -> None:
         await reply.send(200 if gw.ready else 503, b"{}")
 
     return handle
 
 
-def _metrics(gw: Gateway) -> Handler:
+def _metrics_handler(gw: Gateway) -> Handler:
     async def handle(req: Request, reply: Reply) -> None:
         gw.metrics.gauges["ramppost_store_calls"] = gw.store.calls
         gw.metrics.gauges["ramppost_inner_bytes_read"] = gw.store.pool.bytes_in
-        gw.metrics.gauges["ramppost_config_revision_known"] = gw.config_known
+        gw.metrics.gauges["ramppost_config_revision_known"] = gw.config_revision_known
         gw.metrics.gauges["ramppost_config_revision"] = gw.table.revision if gw.table else 0
         gw.metrics.gauges["ramppost_upstream_connections_opened"] = gw.links.opened
         gw.metrics.gauges["ramppost_log_lines_dropped"] = logs.dropped()
-        await reply.send(200, gw.metrics.text(), METRICS_TYPE)
+        await reply.send(200, gw.metrics.text(), METRICS_CONTENT_TYPE)
 
     return handle
--- a/ramppost/gateway/operators.py
+++ b/ramppost/gateway/operators.py
@@ -15,7 +15,7 @@
 from ramppost import ids
 from ramppost.errors import Refusal, error_body, refusal
 from ramppost.gateway.copies import COPY_PATH, copies
-from ramppost.gateway.feed import FEED_PATH, feed
+from ramppost.gateway.feed import FEED_PATH, feed_handler
 from ramppost.gateway.policies import POLICY_KIND, POLICY_NAME
 from ramppost.gateway.state import Gateway
 from ramppost.platform.store import (
@@ -46,25 +46,25 @@
 PLAN_KIND: Final = "plans"
 STATUS_PATH: Final = "/x/status"
 REPORT_PATH: Final = "/x/report"
-ASK_TIMEOUT_S: Final = 2.0
-RETRY_S: Final = 2.0
+PEER_TIMEOUT_S: Final = 2.0
+RETRY_AFTER_S: Final = 2.0
 """When to come back where the store gave no answer."""
-ROLES: Final = {"/v1/intents": "plan", "/v1/status": "read", "/v1/report": "read"}
-WISHES: Final = ("cascade", "compare", "end_compare")
+REQUIRED_ROLES: Final = {"/v1/intents": "plan", "/v1/status": "read", "/v1/report": "read"}
+ALLOWED_INTENTS: Final = ("cascade", "compare", "end_compare")
 
 T = TypeVar("T")
 
 
-def internal(gw: Gateway) -> Handler:
+def internal_handler(gw: Gateway) -> Handler:
     """What other gateways and operators may ask."""
-    told = feed(gw)
-    copied = copies(gw)
+    serve_feed = feed_handler(gw)
+    serve_copy = copies(gw)
 
     async def handle(req: Request, reply: Reply) -> None:
         if req.path == FEED_PATH:
-            await told(req, reply)
+            await serve_feed(req, reply)
         elif req.path == COPY_PATH:
-            await copied(req, reply)
+            await serve_copy(req, reply)
         elif req.path == STATUS_PATH:
             await reply.send(200, encode(_own_status(gw)))
         elif req.path == REPORT_PATH:
@@ -86,90 +86,90 @@
 
 async def _answer(gw: Gateway, req: Request) -> bytes | Refusal:
     confirming = req.path.startswith("/v1/plans/") and req.path.endswith("/confirm")
-    role = "confirm" if confirming else ROLES.get(req.path)
+    role = "confirm" if confirming else REQUIRED_ROLES.get(req.path)
     if role is None:
         return refusal("not_found", f"no such path: {req.path}")
-    who = operator_of(gw.policies.config(), bearer(req))
-    if who is None:
+    operator = operator_of(gw.policies.config(), bearer(req))
+    if operator is None:
         return refusal("unauthorized", "operator token missing or unknown")
-    if role not in who["roles"]:
-        return refusal("forbidden", f"operator {who['name']} may not {role}")
+    if role not in operator["roles"]:
+        return refusal("forbidden", f"operator {operator['name']} may not {role}")
     if confirming:
         plan_id = req.path.removeprefix("/v1/plans/").removesuffix("/confirm")
-        return await _confirm(gw, who, plan_id)
+        return await _confirm_plan(gw, operator, plan_id)
     if req.path == "/v1/intents":
-        return await _plan(gw, who, req)
+        return await _create_plan(gw, operator, req)
     if req.path == "/v1/status":
         return encode(await _status(gw))
     return encode(await _reports(gw))
 
 
-async def _plan(gw: Gateway, who: Operator, req: Request) -> bytes | Refusal:
+async def _create_plan(gw: Gateway, operator: Operator, req: Request) -> bytes | Refusal:
     intent = decode(req.body, Intent)
     if isinstance(intent, BadMessage):
         return refusal("bad_intent", f"intent: {intent.reason}")
-    if intent["kind"] not in WISHES:
+    if intent["kind"] not in ALLOWED_INTENTS:
         return refusal("bad_intent", f"{intent['kind']} is the platform's to decide here")
     config = gw.policies.config()
-    fresh = apply_intent(config, intent)
-    if isinstance(fresh, BadIntent):
-        return refusal("bad_intent", fresh.reason)
+    changed = apply_intent(config, intent)
+    if isinstance(changed, BadIntent):
+        return refusal("bad_intent", changed.reason)
     plan_id = ids.new_id("plan")
     plan = Plan(
         plan_id=plan_id,
         revision=gw.policies.revision,
-        made_by=who["name"],
+        made_by=operator["name"],
         wish=req.body.decode(),
-        difference=difference(config, fresh),
+        difference=difference(config, changed),
         checks=[f"made for revision {gw.policies.revision}"],
         warnings=warnings_for(config, intent),
         effect=effect_of(config, intent, 1.0),
-        result=encode(from_config(fresh, plan_id, who["name"])).decode(),
+        result=encode(from_config(changed, plan_id, operator["name"])).decode(),
     )
     out = await create(gw.store, PLAN_KIND, plan_id, plan)
     if not isinstance(out, StoredObject):
-        return _store_away(out)
+        return _store_refusal(out)
     return encode(plan | {"result": ""})
 
 
-async def _confirm(gw: Gateway, who: Operator, plan_id: str) -> bytes | Refusal:
+async def _confirm_plan(gw: Gateway, operator: Operator, plan_id: str) -> bytes | Refusal:
     found = await read(gw.store, PLAN_KIND, plan_id)
     if isinstance(found, Missing):
         return refusal("not_found", f"no such plan: {plan_id}")
     if isinstance(found, Unavailable):
-        return _store_away(found)
+        return _store_refusal(found)
     plan = decode(encode(found.spec), Plan)
     assert not isinstance(plan, BadMessage), plan
     doc = decode(plan["result"].encode(), PolicyDoc)
     assert not isinstance(doc, BadMessage), doc
-    doc["changed_by"] = who["name"]
-    return await _write(gw, plan, doc)
+    doc["changed_by"] = operator["name"]
+    return await _write_policies(gw, plan, doc)
 
 
-async def _write(gw: Gateway, plan: Plan, doc: PolicyDoc) -> bytes | Refusal:
+async def _write_policies(gw: Gateway, plan: Plan, doc: PolicyDoc) -> bytes | Refusal:
     """Put a document in force; confirming again, or after a lost answer, finds it there."""
     out = await replace(gw.store, POLICY_KIND, POLICY_NAME, plan["revision"], doc)
     if not isinstance(out, StoredObject):
-        held = await read(gw.store, POLICY_KIND, POLICY_NAME)
-        if isinstance(held, Unavailable):
+        stored = await read(gw.store, POLICY_KIND, POLICY_NAME)
+        if isinstance(stored, Unavailable):
             code = "confirm_unknown" if isinstance(out, Unavailable) else "platform_down"
-            return refusal(code, f"the store gave no answer: {held.reason}", RETRY_S)
-        if isinstance(held, Missing) or held.spec.get("plan_id") != plan["plan_id"]:
-            return _stale(plan, held)
-        out = held
+            return refusal(code, f"the store gave no answer: {stored.reason}", RETRY_AFTER_S)
+        if isinstance(stored, Missing) or stored.spec.get("plan_id") != plan["plan_id"]:
+            return _stale_plan_refusal(plan, stored)
+        out = stored
     gw.policies.seen(out)
     logger.info("plan confirmed", plan=plan["plan_id"], revision=out.revision)
     return encode({"plan_id": plan["plan_id"], "revision": out.revision})
 
 
-def _stale(plan: Plan, held: StoredObject | Missing) -> Refusal:
-    now = held.revision if isinstance(held, StoredObject) else 0
+def _stale_plan_refusal(plan: Plan, stored: StoredObject | Missing) -> Refusal:
+    now = stored.revision if isinstance(stored, StoredObject) else 0
     return refusal("stale_plan", f"made for revision {plan['revision']}, now {now}: plan again")
 
 
-def _store_away(out: Unavailable | Conflict) -> Refusal:
+def _store_refusal(out: Unavailable | Conflict) -> Refusal:
     why = out.reason if isinstance(out, Unavailable) else "the object is there already"
-    return refusal("platform_down", f"the store gave no answer: {why}", RETRY_S)
+    return refusal("platform_down", f"the store gave no answer: {why}", RETRY_AFTER_S)
 
 
 # --- reports
@@ -181,20 +181,20 @@
         name=gw.cfg["name"],
         hall=gw.cfg["hall"],
         rev=gw.policies.revision,
-        state="leaving" if gw.leaving else "live",
+        state="leaving" if gw.draining else "live",
     )
 
 
 async def _status(gw: Gateway) -> StatusReport:
     """The revision of the policies in force at every gateway that is known."""
-    found = await _of_others(gw, STATUS_PATH, EntryStatus)
-    lines = [_line(gw.cfg["name"], "", _own_status(gw))]
-    lines += [_line(name, gw.peers.addrs[name], status) for name, status in found.items()]
+    found = await _ask_peers(gw, STATUS_PATH, EntryStatus)
+    lines = [_process_status(gw.cfg["name"], "", _own_status(gw))]
+    lines += [_process_status(name, gw.peers.addrs[name], status) for name, status in found.items()]
     rollouts = [f"{r.order.service}: {r.order.version} {r.order.state}" for r in gw.rollouts.all()]
     return StatusReport(revision=gw.policies.revision, rollouts=rollouts, processes=lines)
 
 
-def _line(name: str, addr: str, status: EntryStatus | None) -> ProcessStatus:
+def _process_status(name: str, addr: str, status: EntryStatus | None) -> ProcessStatus:
     return ProcessStatus(
         name=name,
         role="gateway",
@@ -207,21 +207,22 @@
 
 async def _reports(gw: Gateway) -> list[Report]:
     """The reports of all gateways that answer."""
-    found = await _of_others(gw, REPORT_PATH, Report)
+    found = await _ask_peers(gw, REPORT_PATH, Report)
     own = gw.counts.report(gw.cfg["name"])
     return [own, *(report for report in found.values() if report is not None)]
 
 
-async def _of_others(gw: Gateway, path: str, kind: type[T]) -> dict[str, T | None]:
+async def _ask_peers(gw: Gateway, path: str, kind: type[T]) -> dict[str, T | None]:
     """What every other gateway answers, None where one does not."""
     tasks = {
-        name: await curio.spawn(_ask, gw, addr, path, kind) for name, addr in gw.peers.addrs.items()
+        name: await curio.spawn(_ask_peer, gw, addr, path, kind)
+        for name, addr in gw.peers.addrs.items()
     }
     return {name: await task.join() for name, task in tasks.items()}
 
 
-async def _ask(gw: Gateway, addr: str, path: str, kind: type[T]) -> T | None:
-    got = await call(gw.store.pool, addr, "GET", path, timeout_s=ASK_TIMEOUT_S)
+async def _ask_peer(gw: Gateway, addr: str, path: str, kind: type[T]) -> T | None:
+    got = await call(gw.store.pool, addr, "GET", path, timeout_s=PEER_TIMEOUT_S)
     if isinstance(got, CallFailed) or got.status != 200:
         logger.info("gateway does not answer", addr=addr, path=path)
         return None
--- a/ramppost/gateway/passing.py
+++ b/ramppost/gateway/passing.py
@@ -73,7 +73,7 @@
         if isinstance(piece, Broken):
             return piece
         if isinstance(piece, End):
-            if splitter.rest:
+            if splitter.remainder:
                 return Broken("stream ended within an event", cut=True)
             break
         course.record_piece(clock.now())
--- a/ramppost/gateway/peers.py
+++ b/ramppost/gateway/peers.py
@@ -30,15 +30,15 @@
     )
 
 
-def listed(gw: Gateway, snapshot: Snapshot) -> None:
+def apply_gateway_snapshot(gw: Gateway, snapshot: Snapshot) -> None:
     """Take in a list of gateways."""
     for obj in snapshot.objects:
-        found(gw, obj)
+        apply_gateway_entry(gw, obj)
     gw.peers.listed = True
     logger.info("gateways listed", gateways=len(gw.peers.addrs))
 
 
-def found(gw: Gateway, obj: StoredObject) -> None:
+def apply_gateway_entry(gw: Gateway, obj: StoredObject) -> None:
     """Take in a gateway's entry."""
     entry = gw.unreadable.decoded(GATEWAY_KIND, obj, GatewayEntry)
     if entry is None:
--- a/ramppost/gateway/pick.py
+++ b/ramppost/gateway/pick.py
@@ -110,7 +110,9 @@
         _engine_view(gw, found.by_key[key], gw.backlogs.known(key, question, now), prompt, now)
         for key in select_candidates(found.pool, around.hall, around.home, gw.rng)
     ]
-    best = [placed.id for placed in rank_engines(views, work, gw.rates, around, now, gw.rng)]
+    best = [
+        placed.id for placed in rank_engines(views, work, gw.prefill_rates, around, now, gw.rng)
+    ]
     return [found.by_key[key] for key in {around.home, *best[: MOST_ASKED - 1]} - {""}]
 
 
@@ -202,7 +204,7 @@
 
 
 def _question(gw: Gateway, job: Job, model: str, prompt: Prompt) -> Question:
-    read_s = gw.rates.rate_s(model) * prompt.tokens_in
+    read_s = gw.prefill_rates.rate_s(model) * prompt.tokens_in
     return Question(level(gw, job, read_s), model, prompt.part_names)
 
 
@@ -220,7 +222,7 @@
     around = _around(gw, among, work)
     told = _told(gw, job, among, around, _question(gw, job, model, prompt), now)
     engines = [_engine_view(gw, among.by_key[k], told[k], prompt, now) for k in told]
-    found = rank_engines(engines, work, gw.rates, around, now, gw.rng)[0]
+    found = rank_engines(engines, work, gw.prefill_rates, around, now, gw.rng)[0]
     kept = leading_tokens(prompt.parts, told[found.id].kept)
     return _chosen(gw, service, among.by_key[found.id], len(fit), found, told[found.id], kept, now)
 
--- a/ramppost/gateway/serve.py
+++ b/ramppost/gateway/serve.py
@@ -52,7 +52,7 @@
         await _refuse(gw, req, reply, admitted, read_at)
         return
     job = Job(req, admitted, read_at)
-    if admitted.workspace is not None and not gw.fresh.holds(read_at):
+    if admitted.workspace is not None and not gw.freshness.holds(read_at):
         gw.metrics.count("ramppost_requests_on_unconfirmed_keys_total")
     failed: Refusal | None = None
     try:
@@ -76,7 +76,7 @@
 async def _answer(gw: Gateway, job: Job, reply: Reply) -> Refusal | None:
     """Find who answers and pass it on; a refusal where nobody did."""
     service = service_of(job)
-    budget = gw.budget_of(service)
+    budget = gw.retry_budget_of(service)
     began_at = clock.now()
     budget.record_try(began_at)
     plan = plan_of(gw, job, budget.available(began_at) >= 1)
@@ -119,7 +119,7 @@
         await look(gw, job, service, model)
         # After all that may take time: a process that was frozen finds its confirmation old here.
         now = clock.now()
-        if job.workspace is not None and not gw.fresh.may_start(now):
+        if job.workspace is not None and not gw.freshness.may_start(now):
             return _final(job, stale())
         chosen = pick(gw, job, service, model, now)
         wait_s = warmup_wait_s(gw, job, service, now) if chosen is None else None
@@ -173,7 +173,7 @@
         return True
     if job.tries >= job.route.attempts:
         return False
-    return gw.budget_of(service).take(clock.now())
+    return gw.retry_budget_of(service).take(clock.now())
 
 
 def _worth_another(gw: Gateway, job: Job, service: str, got: Running, reply: Reply) -> bool:
@@ -188,7 +188,7 @@
     if job.route.repeat == "never" or job.tries >= job.route.attempts:
         return False
     now = clock.now()
-    enough = gw.budget_of(service).available(now) >= 1
+    enough = gw.retry_budget_of(service).available(now) >= 1
     return enough and pick(gw, job, service, got.model, now) is not None
 
 
@@ -325,4 +325,4 @@
 
 def _config_age_s(gw: Gateway) -> float:
     """For the log: how long ago the configuration was known to be the newest, 999 at most."""
-    return round(min(gw.fresh.age(clock.now()), 999.0), 3)
+    return round(min(gw.freshness.age(clock.now()), 999.0), 3)
--- a/ramppost/gateway/settings.py
+++ b/ramppost/gateway/settings.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from ramppost.gateway.early import without_comments
+from ramppost.gateway.early import strip_comments
 from ramppost.schema.settings import GatewaySettings
 from ramppost.wire.codec import BadMessage, decode
 
@@ -32,7 +32,7 @@
     except (OSError, UnicodeDecodeError) as exc:
         why = exc.strerror if isinstance(exc, OSError) else "not UTF-8 text"
         return BadSettings(f"{path}: can't be read ({why}); name a readable file")
-    found = decode(without_comments(text).encode(), GatewaySettings)
+    found = decode(strip_comments(text).encode(), GatewaySettings)
     if isinstance(found, BadMessage):
         return BadSettings(f"{path}: {found.reason}; see docs/operators/settings.md")
     return found
--- a/ramppost/gateway/state.py
+++ b/ramppost/gateway/state.py
@@ -11,7 +11,7 @@
 from ramppost.gateway.datagrams import Datagrams
 from ramppost.gateway.endings import Endings
 from ramppost.gateway.fatal import FatalRequests
-from ramppost.gateway.follow import Followed, Lacking, News, Outage
+from ramppost.gateway.follow import KindReplica, PendingObject, StoreOutage, UpdateNotifier
 from ramppost.gateway.freshness import Freshness
 from ramppost.gateway.inbound import Callers
 from ramppost.gateway.links import Links
@@ -38,7 +38,7 @@
 from ramppost.wire.client import Pool
 
 
-def _bound_s(cfg: GatewaySettings) -> float:
+def _withdrawal_bound_s(cfg: GatewaySettings) -> float:
     """Seconds after which a key that was taken away must not start work."""
     return cfg["timing"]["withdrawal_ms"] / 1000
 
@@ -48,7 +48,7 @@
     return cfg["timing"].get("unconfirmed_keys") == "serve"
 
 
-Refusing = Literal["none", "streams", "all"]
+RefusalScope = Literal["none", "streams", "all"]
 
 
 class Gateway:
@@ -58,16 +58,16 @@
         self.cfg = cfg
         self.rng = random.Random()
         self.table: RoutingTable | None = None
-        self.config_seen = 0
+        self.config_revision_seen = 0
         """Revision of the newest configuration seen, understood or not."""
         self.peers = Peers(cfg["name"], cfg.get("link_mbps", 0.0), cfg["hall"])
         self.warmups = WarmUps(self.peers)
-        self.peers_answer = False
+        self.peers_reachable = False
         """Whether another answered when last asked, fresh or not."""
-        self.news = News()
-        self.followed: dict[str, Followed] = {}
+        self.updates = UpdateNotifier()
+        self.replicas: dict[str, KindReplica] = {}
         """What is known of each kind of objects in the store."""
-        self.fed_until = float("-inf")
+        self.feed_valid_until = float("-inf")
         """Up to when another gateway keeps us up to date (steady clock)."""
         self.members = Members()
         self.members_listed = False
@@ -78,30 +78,32 @@
         self.unreadable = Unreadable()
         self.regions = Regions(cfg.get("regions", {}))
         self.pools = Pools()
-        self.fresh = Freshness(_bound_s(cfg), _serves_unconfirmed(cfg))
-        self.outage = Outage()
+        self.freshness = Freshness(_withdrawal_bound_s(cfg), _serves_unconfirmed(cfg))
+        self.store_outage = StoreOutage()
         self.store = StoreClient(cfg["store"]["addr"], Pool(cfg["ip"]))
         self.links = Links(cfg["ip"])
         self.endings = Endings(self.links)
         self.loads = Loads()
-        self.rates = PrefillRates()
+        self.prefill_rates = PrefillRates()
         self.pressure = Pressure()
         self.suspicions: dict[str, Suspicion] = {}
-        self.budgets: dict[str, WindowBudget] = {}
+        self.retry_budgets: dict[str, WindowBudget] = {}
         self.paces: dict[tuple[str, str], TimingBaseline] = {}
         self.rollouts = Rollouts(cfg["timing"]["session_s"])
         self.callers = Callers()
         self.metrics = Metrics()
         self.datagrams = Datagrams(self.metrics)
-        self.backlogs = Backlogs(cfg["name"], self.peers, self.rates, self.datagrams, self.metrics)
+        self.backlogs = Backlogs(
+            cfg["name"], self.peers, self.prefill_rates, self.datagrams, self.metrics
+        )
         self.fatal = FatalRequests(self.peers, self.datagrams, self.metrics)
         self.counts = Counts()
         self.policies = Policies()
-        self.leaving = False
+        self.draining = False
         """A planned stop has begun: not ready, and each answer closes its connection."""
-        self.back_at = float("inf")
+        self.resume_at = float("inf")
         """When this gateway takes callers again after a planned stop."""
-        self.refusing: Refusing = "none"
+        self.refusal_scope: RefusalScope = "none"
         """What a planned stop refuses as not run."""
 
     @property
@@ -119,44 +121,44 @@
         """
         now = clock.now()
         known = self.table is not None and self.members_listed and self.evacuations_known
-        as_good = self.fresh.may_start(now) or self.peers_answer
-        return known and not self.leaving and as_good and not self._behind(now)
+        fresh_enough = self.freshness.may_start(now) or self.peers_reachable
+        return known and not self.draining and fresh_enough and not self._config_overdue(now)
 
     @property
-    def config_known(self) -> int:
+    def config_revision_known(self) -> int:
         """Revision of the newest configuration that is known to exist, had or not."""
-        lacking = self._lacking_config()
-        return max(self.config_seen, lacking.revision if lacking is not None else 0)
+        pending = self._pending_config()
+        return max(self.config_revision_seen, pending.revision if pending is not None else 0)
 
-    def _behind(self, now: float) -> bool:
-        lacking = self._lacking_config()
-        allowed_s = self.cfg["timing"]["config_apply_ms"] / 1000
-        return lacking is not None and now - lacking.since > allowed_s
+    def _config_overdue(self, now: float) -> bool:
+        pending = self._pending_config()
+        limit_s = self.cfg["timing"]["config_apply_ms"] / 1000
+        return pending is not None and now - pending.since > limit_s
 
-    def _lacking_config(self) -> Lacking | None:
-        followed = self.followed.get(names.CONFIG_KIND)
-        return followed.lacking.get(names.CONFIG_NAME) if followed is not None else None
+    def _pending_config(self) -> PendingObject | None:
+        replica = self.replicas.get(names.CONFIG_KIND)
+        return replica.pending.get(names.CONFIG_NAME) if replica is not None else None
 
     def reconfigure(self, cfg: GatewaySettings) -> None:
         """Take in changed settings; addresses it listens on stay until the next start."""
         self.cfg = cfg
         self.store.addr = cfg["store"]["addr"]
-        self.fresh.bound_s = _bound_s(cfg)
-        self.fresh.serve_unconfirmed = _serves_unconfirmed(cfg)
+        self.freshness.bound_s = _withdrawal_bound_s(cfg)
+        self.freshness.serve_unconfirmed = _serves_unconfirmed(cfg)
         self.rollouts.pins.session_s = cfg["timing"]["session_s"]
-        self.budgets.clear()
+        self.retry_budgets.clear()
 
     def suspicion_of(self, upstream_key: str) -> Suspicion:
         """What speaks against an upstream."""
         return self.suspicions.setdefault(upstream_key, Suspicion())
 
-    def budget_of(self, service: str) -> WindowBudget:
+    def retry_budget_of(self, service: str) -> WindowBudget:
         """This gateway's part of a service's retry budget."""
         retries = self.cfg["retries"]
-        found = self.budgets.get(service)
+        found = self.retry_budgets.get(service)
         if found is None:
             found = WindowBudget(retries["ratio"] * SHARED_FRACTION, retries["window_s"], 0.0)
-            self.budgets[service] = found
+            self.retry_budgets[service] = found
         found.slack = slack_per_gateway(retries["slack"], self.peers.fleet_size)
         return found
 
--- a/ramppost/gateway/watchers.py
+++ b/ramppost/gateway/watchers.py
@@ -14,7 +14,7 @@
     evacuations_listed,
 )
 from ramppost.gateway.fatal_doc import FATAL_KIND, fatal_changed, fatal_listed
-from ramppost.gateway.follow import Followed, Follower, Handlers, follow
+from ramppost.gateway.follow import FollowConfig, Handlers, KindReplica, follow
 from ramppost.gateway.model import RoutingTable, Upstream
 from ramppost.gateway.policies import POLICY_KIND
 from ramppost.gateway.rollout_duty import PROGRESS_KIND, progress_seen
@@ -25,116 +25,120 @@
 from ramppost.policy.relays import FOLLOWS_HALL_DEPTH
 from ramppost.wire.codec import BadMessage
 
-CONFIG_WAIT_OF_BOUND: Final = 0.2
+CONFIG_WATCH_BOUND_RATIO: Final = 0.2
 """Each answered watch confirms the configuration as of when it was sent, so its wait is how
 old a confirmation usually grows: a fifth of the bound, so that several may fail in a row."""
-CONFIG_WAIT_OF_APPLY: Final = 0.4
+CONFIG_WATCH_APPLY_RATIO: Final = 0.4
 """Of the time in which a configuration must be in force: a confirmation is up to two waits old
 in calm times, and unknown routes and keys are refused for good only by one that is younger."""
-UPSTREAM_WAIT_OF_BOUND: Final = 0.4
+UPSTREAM_WATCH_LEAVE_RATIO: Final = 0.4
 """Part of the time in which an upstream's leaving must be known.  A relay that lost the store
 or died is noticed within this, `FEED_SLACK_S` and the slack of a call; the rest is for asking
 the store instead."""
-EVACUATION_WAIT_OF_BOUND: Final = 0.3
+EVACUATION_WATCH_BOUND_RATIO: Final = 0.3
 """Watch timeout as a part of `evacuate_ms`.  A relay retries an unanswered watch after this plus
 the slack of a call; the remaining time is for propagation to the gateways it feeds."""
 FEED_SLACK_S: Final = 0.4
 """How much longer than a relay's own watch a gateway waits for its next confirmation: a store
 that is slow answers in some tenths of a second."""
-DEPTH_SLACK_OF_BOUND: Final = 0.15
+DEPTH_SLACK_LEAVE_RATIO: Final = 0.15
 """How much longer a gateway waits that is told by another of its hall, as a part of the time in
 which an upstream's leaving must be known: until that one has found its relay silent (0.2 s) and
 has been answered by the store instead.  All waits together leave an eighth of that time."""
-SLOW_WAIT_S: Final = 15.0
+SLOW_WATCH_TIMEOUT_S: Final = 15.0
 """For what other gateways write: a watch is answered at once where there is something."""
-ROLLOUT_WAIT_S: Final = 6.0
+ROLLOUT_WATCH_TIMEOUT_S: Final = 6.0
 """Orders last many seconds, and a gateway also judges versions by itself."""
-PATIENCE_S: Final = 3.0
+FALLBACK_DELAY_S: Final = 3.0
 """What other gateways write is asked of the store only so long after a relay has helped."""
-GATHER_S: Final = 0.25
+UPSTREAM_WATCH_PAUSE_S: Final = 0.25
 """Kept between two watches of upstreams: many change together."""
-SWEEP_S: Final = 0.2
+SWEEP_INTERVAL_S: Final = 0.2
 
 
 def feed_wait_s(gw: Gateway) -> float:
     """Within this, whoever keeps up with the store has a later confirmation to tell."""
-    return _upstream_wait_s(gw) + FEED_SLACK_S + _depth_slack_s(gw)
+    return _upstream_watch_timeout_s(gw) + FEED_SLACK_S + _depth_slack_s(gw)
 
 
-def oldest_s(gw: Gateway) -> float:
+def stale_after_s(gw: Gateway) -> float:
     """How old a confirmation grows at one that keeps up: it is dated by when a watch was
     sent, and stands until the next watch has ended."""
-    return 2 * _upstream_wait_s(gw) + FEED_SLACK_S + _depth_slack_s(gw)
+    return 2 * _upstream_watch_timeout_s(gw) + FEED_SLACK_S + _depth_slack_s(gw)
 
 
 def _depth_slack_s(gw: Gateway) -> float:
-    behind_hall = gw.peers.depth(clock.now()) == FOLLOWS_HALL_DEPTH
+    follows_hall = gw.peers.depth(clock.now()) == FOLLOWS_HALL_DEPTH
     leave_s = gw.cfg["timing"]["upstream_leave_ms"] / 1000
-    return DEPTH_SLACK_OF_BOUND * leave_s if behind_hall else 0.0
+    return DEPTH_SLACK_LEAVE_RATIO * leave_s if follows_hall else 0.0
 
 
-def _config_wait_s(gw: Gateway) -> float:
+def _config_watch_timeout_s(gw: Gateway) -> float:
     apply_s = gw.cfg["timing"]["config_apply_ms"] / 1000
     return min(
-        CONFIG_WAIT_OF_BOUND * gw.fresh.bound_s,
-        CONFIG_WAIT_OF_APPLY * apply_s,
-        _upstream_wait_s(gw),
+        CONFIG_WATCH_BOUND_RATIO * gw.freshness.bound_s,
+        CONFIG_WATCH_APPLY_RATIO * apply_s,
+        _upstream_watch_timeout_s(gw),
     )
 
 
-def _upstream_wait_s(gw: Gateway) -> float:
-    return UPSTREAM_WAIT_OF_BOUND * gw.cfg["timing"]["upstream_leave_ms"] / 1000
+def _upstream_watch_timeout_s(gw: Gateway) -> float:
+    return UPSTREAM_WATCH_LEAVE_RATIO * gw.cfg["timing"]["upstream_leave_ms"] / 1000
 
 
-def _evacuation_wait_s(gw: Gateway) -> float:
-    return EVACUATION_WAIT_OF_BOUND * gw.cfg["timing"].get("evacuate_ms", 0) / 1000
+def _evacuation_watch_timeout_s(gw: Gateway) -> float:
+    return EVACUATION_WATCH_BOUND_RATIO * gw.cfg["timing"].get("evacuate_ms", 0) / 1000
 
 
 async def start_watchers(gw: Gateway) -> None:
     """Start following; the tasks end with the process."""
     config = Handlers(
-        lambda snapshot: config_listed(gw, snapshot),
-        lambda change: _config_changed(gw, change),
-        lambda at: confirmed(gw, at),
+        lambda snapshot: apply_config_snapshot(gw, snapshot),
+        lambda change: _apply_config_change(gw, change),
+        lambda at: confirm_config(gw, at),
     )
     upstreams = Handlers(
-        lambda snapshot: upstreams_listed(gw, snapshot),
-        lambda change: upstream_changed(gw, change),
-        _unused,
+        lambda snapshot: apply_upstream_snapshot(gw, snapshot),
+        lambda change: apply_upstream_change(gw, change),
+        _ignore_confirmation,
     )
     rollouts = Handlers(
-        lambda snapshot: _rollouts_listed(gw, snapshot),
-        lambda change: _rollout_changed(gw, change),
-        _unused,
+        lambda snapshot: _apply_rollout_snapshot(gw, snapshot),
+        lambda change: _apply_rollout_change(gw, change),
+        _ignore_confirmation,
     )
     progress = Handlers(
-        lambda snapshot: _progress_listed(gw, snapshot),
+        lambda snapshot: _apply_progress_snapshot(gw, snapshot),
         lambda change: progress_seen(gw, change.obj),
-        _unused,
+        _ignore_confirmation,
     )
     policies = Handlers(
-        lambda snapshot: _policies_listed(gw, snapshot),
-        lambda change: _policies_changed(gw, change),
-        _unused,
+        lambda snapshot: _apply_policy_snapshot(gw, snapshot),
+        lambda change: _apply_policy_change(gw, change),
+        _ignore_confirmation,
     )
-    await watch_kind(gw, names.CONFIG_KIND, config, _config_wait_s(gw), 0.0, urgent=True)
-    await watch_kind(gw, names.UPSTREAM_KIND, upstreams, _upstream_wait_s(gw), 0.0, urgent=True)
-    await watch_kind(gw, names.ROLLOUT_KIND, rollouts, ROLLOUT_WAIT_S, 0.0)
-    await watch_kind(gw, PROGRESS_KIND, progress, SLOW_WAIT_S, PATIENCE_S)
-    await watch_kind(gw, POLICY_KIND, policies, SLOW_WAIT_S, PATIENCE_S)
+    await watch_kind(gw, names.CONFIG_KIND, config, _config_watch_timeout_s(gw), 0.0, urgent=True)
+    await watch_kind(
+        gw, names.UPSTREAM_KIND, upstreams, _upstream_watch_timeout_s(gw), 0.0, urgent=True
+    )
+    await watch_kind(gw, names.ROLLOUT_KIND, rollouts, ROLLOUT_WATCH_TIMEOUT_S, 0.0)
+    await watch_kind(gw, PROGRESS_KIND, progress, SLOW_WATCH_TIMEOUT_S, FALLBACK_DELAY_S)
+    await watch_kind(gw, POLICY_KIND, policies, SLOW_WATCH_TIMEOUT_S, FALLBACK_DELAY_S)
     fatal = Handlers(
         lambda snapshot: fatal_listed(gw, snapshot),
         lambda change: fatal_changed(gw, change),
-        _unused,
+        _ignore_confirmation,
     )
-    await watch_kind(gw, FATAL_KIND, fatal, SLOW_WAIT_S, PATIENCE_S)
+    await watch_kind(gw, FATAL_KIND, fatal, SLOW_WATCH_TIMEOUT_S, FALLBACK_DELAY_S)
     if evacuations_enabled(gw):
         evacuations = Handlers(
             lambda snapshot: evacuations_listed(gw, snapshot),
             lambda change: evacuation_changed(gw, change),
-            _unused,
+            _ignore_confirmation,
+        )
+        await watch_kind(
+            gw, names.EVACUATION_KIND, evacuations, _evacuation_watch_timeout_s(gw), 0.0
         )
-        await watch_kind(gw, names.EVACUATION_KIND, evacuations, _evacuation_wait_s(gw), 0.0)
     await curio.spawn(_sweep, gw, daemon=True)
 
 
@@ -142,44 +146,44 @@
     gw: Gateway,
     kind: str,
     handlers: Handlers,
-    wait_s: float,
-    patience_s: float,
+    watch_timeout_s: float,
+    fallback_delay_s: float,
     urgent: bool = False,
 ) -> None:
     """Follow a kind from now on."""
-    followed = Followed(kind, handlers, gw.news, urgent)
-    gw.followed[kind] = followed
-    follower = Follower(
-        followed,
-        wait_s,
-        GATHER_S if kind == names.UPSTREAM_KIND else 0.0,
-        patience_s,
-        lambda: gw.fed_until,
-        probes=kind == names.CONFIG_KIND,
+    replica = KindReplica(kind, handlers, gw.updates, urgent)
+    gw.replicas[kind] = replica
+    follow_config = FollowConfig(
+        replica,
+        watch_timeout_s,
+        UPSTREAM_WATCH_PAUSE_S if kind == names.UPSTREAM_KIND else 0.0,
+        fallback_delay_s,
+        lambda: gw.feed_valid_until,
+        probes_store=kind == names.CONFIG_KIND,
     )
-    await curio.spawn(follow, gw.store, follower, gw.outage, daemon=True)
+    await curio.spawn(follow, gw.store, follow_config, gw.store_outage, daemon=True)
 
 
-def _unused(at: float) -> None:
+def _ignore_confirmation(at: float) -> None:
     """Nothing depends on how old this kind's confirmation is."""
 
 
-def config_listed(gw: Gateway, snapshot: Snapshot) -> None:
+def apply_config_snapshot(gw: Gateway, snapshot: Snapshot) -> None:
     for obj in snapshot.objects:
-        take_config(gw, obj)
+        apply_config(gw, obj)
 
 
-def confirmed(gw: Gateway, sent_at: float) -> None:
+def confirm_config(gw: Gateway, sent_at: float) -> None:
     """The store was asked at that time, and what it answered is in force."""
-    if gw.table is not None and gw.table.revision >= gw.config_seen:
-        gw.fresh.confirm(sent_at)
+    if gw.table is not None and gw.table.revision >= gw.config_revision_seen:
+        gw.freshness.confirm(sent_at)
 
 
-def take_config(gw: Gateway, obj: StoredObject) -> None:
+def apply_config(gw: Gateway, obj: StoredObject) -> None:
     """Put a configuration in force unless a newer one is."""
     if obj.name != names.CONFIG_NAME:
         return
-    gw.config_seen = max(gw.config_seen, obj.revision)
+    gw.config_revision_seen = max(gw.config_revision_seen, obj.revision)
     table = routing_table(obj)
     if isinstance(table, BadMessage):
         logger.error("configuration not understood: {}", table.reason, revision=obj.revision)
@@ -192,11 +196,11 @@
     gw.metrics.gauges["ramppost_config_version"] = table.version
 
 
-def _config_changed(gw: Gateway, change: Change) -> None:
+def _apply_config_change(gw: Gateway, change: Change) -> None:
     if change.removed:
         logger.error("configuration removed from the store; the last one stays in force")
     else:
-        take_config(gw, change.obj)
+        apply_config(gw, change.obj)
 
 
 def _log_config(old: RoutingTable | None, new: RoutingTable) -> None:
@@ -210,16 +214,16 @@
     )
 
 
-def upstreams_listed(gw: Gateway, snapshot: Snapshot) -> None:
+def apply_upstream_snapshot(gw: Gateway, snapshot: Snapshot) -> None:
     now = clock.now()
-    listed = [up for obj in snapshot.objects if (up := _upstream(gw, obj)) is not None]
+    listed = [up for obj in snapshot.objects if (up := _decode_upstream(gw, obj)) is not None]
     gw.members.replace_all(listed, now)
     gw.members_listed = True
-    _forget_gone(gw)
+    _forget_removed(gw)
     logger.info("upstreams listed", count=len(listed), revision=snapshot.revision)
 
 
-def _upstream(gw: Gateway, obj: StoredObject) -> Upstream | None:
+def _decode_upstream(gw: Gateway, obj: StoredObject) -> Upstream | None:
     """The upstream of an entry; one whose entry names none is not used any more."""
     found = upstream(obj)
     if isinstance(found, BadMessage):
@@ -230,20 +234,20 @@
     return found
 
 
-def _forget_gone(gw: Gateway) -> None:
+def _forget_removed(gw: Gateway) -> None:
     """Drop what is known of upstreams that have left or started again."""
     for gone in gw.members.take_gone():
         gw.forget(gone.key)
 
 
-def upstream_changed(gw: Gateway, change: Change) -> None:
+def apply_upstream_change(gw: Gateway, change: Change) -> None:
     now = clock.now()
     if change.removed:
         if gw.members.remove(change.obj.name, now):
             logger.info("upstream's entry gone", upstream=change.obj.name)
-        _forget_gone(gw)
+        _forget_removed(gw)
         return
-    found = _upstream(gw, change.obj)
+    found = _decode_upstream(gw, change.obj)
     if found is not None and gw.members.put(found):
         logger.info(
             "upstream {}",
@@ -256,43 +260,43 @@
         )
     if found is not None and found.leaving:
         gw.links.forget(found.key)
-    _forget_gone(gw)
+    _forget_removed(gw)
 
 
-def _rollouts_listed(gw: Gateway, snapshot: Snapshot) -> None:
+def _apply_rollout_snapshot(gw: Gateway, snapshot: Snapshot) -> None:
     listed = {obj.name for obj in snapshot.objects}
     for running in gw.rollouts.all():
         if running.order.service not in listed:
             gw.rollouts.removed(running.order.service)
     for obj in snapshot.objects:
-        _take_rollout(gw, obj)
+        _apply_rollout(gw, obj)
 
 
-def _rollout_changed(gw: Gateway, change: Change) -> None:
+def _apply_rollout_change(gw: Gateway, change: Change) -> None:
     if change.removed:
         gw.rollouts.removed(change.obj.name)
     else:
-        _take_rollout(gw, change.obj)
+        _apply_rollout(gw, change.obj)
 
 
-def _progress_listed(gw: Gateway, snapshot: Snapshot) -> None:
+def _apply_progress_snapshot(gw: Gateway, snapshot: Snapshot) -> None:
     for obj in snapshot.objects:
         progress_seen(gw, obj)
 
 
-def _policies_listed(gw: Gateway, snapshot: Snapshot) -> None:
+def _apply_policy_snapshot(gw: Gateway, snapshot: Snapshot) -> None:
     for obj in snapshot.objects:
         gw.policies.seen(obj)
 
 
-def _policies_changed(gw: Gateway, change: Change) -> None:
+def _apply_policy_change(gw: Gateway, change: Change) -> None:
     if change.removed:
         logger.warning("policies removed from the store; the last ones stay in force")
     else:
         gw.policies.seen(change.obj)
 
 
-def _take_rollout(gw: Gateway, obj: StoredObject) -> None:
+def _apply_rollout(gw: Gateway, obj: StoredObject) -> None:
     order = rollout_order(obj)
     if isinstance(order, BadMessage):
         gw.unreadable.note(names.ROLLOUT_KIND, obj, order.reason)
@@ -311,9 +315,9 @@
 async def _sweep(gw: Gateway) -> None:
     """Drop what has not come back, close idle connections."""
     while True:
-        await curio.sleep(SWEEP_S)
+        await curio.sleep(SWEEP_INTERVAL_S)
         now = clock.now()
         for gone in gw.members.sweep(now):
             logger.info("upstream dropped: its entry did not come back", upstream=gone.id)
-        _forget_gone(gw)
+        _forget_removed(gw)
         gw.links.close_expired(now)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -13,7 +13,7 @@
 from ramppost.gateway.job import Job
 from ramppost.gateway.links import Broken
 from ramppost.gateway.state import Gateway
-from ramppost.gateway.watchers import upstreams_listed
+from ramppost.gateway.watchers import apply_upstream_snapshot
 from ramppost.platform.headers import caller_request
 from ramppost.platform.store import Snapshot
 from ramppost.policy.fatal import FATAL_START_ENDS, JUST_BEGUN
@@ -70,8 +70,10 @@
     monkeypatch.setattr("ramppost.gateway.endings.connect", connect)
     gw = Gateway(SETTINGS)
     take(gw, 5, 1)
-    gw.fresh.confirm(clock.now())
-    upstreams_listed(gw, Snapshot([entry(f"e{number}") for number in range(FATAL_START_ENDS)], 5))
+    gw.freshness.confirm(clock.now())
+    apply_upstream_snapshot(
+        gw, Snapshot([entry(f"e{number}") for number in range(FATAL_START_ENDS)], 5)
+    )
     admitted = ask(gw, STREAM)
     assert isinstance(admitted, Admitted)
     job = Job(caller_request("POST", STREAM, (), b""), admitted, clock.now())
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -17,13 +17,13 @@
 from ramppost.gateway.admit import admit
 from ramppost.gateway.attempt import _outgoing
 from ramppost.gateway.evacuations import evacuation_changed, evacuations_listed
-from ramppost.gateway.feed import knows
+from ramppost.gateway.feed import urgent_kinds_known
 from ramppost.gateway.links import NotSent, OutgoingRequest
 from ramppost.gateway.membership import Members
 from ramppost.gateway.model import Upstream
 from ramppost.gateway.pick import pick
 from ramppost.gateway.state import Gateway
-from ramppost.gateway.watchers import config_listed, confirmed
+from ramppost.gateway.watchers import apply_config_snapshot, confirm_config
 from ramppost.platform import names
 from ramppost.platform.store import Change, Snapshot, StoredObject
 from ramppost.schema.settings import GatewaySettings
@@ -45,8 +45,8 @@
 @pytest.fixture
 def gw() -> Gateway:
     found = Gateway(WITH_EVACUATIONS)
-    config_listed(found, Snapshot([StoredObject(names.CONFIG_NAME, 1, config(1), None)], 5))
-    confirmed(found, clock.now())
+    apply_config_snapshot(found, Snapshot([StoredObject(names.CONFIG_NAME, 1, config(1), None)], 5))
+    confirm_config(found, clock.now())
     found.members_listed = True
     for upstream in (BOLE_UPSTREAM, KIRKOS_UPSTREAM):
         found.members.put(upstream)
@@ -106,7 +106,7 @@
 def test_no_caller_is_admitted_before_the_evacuations_are_listed(gw: Gateway) -> None:
     job = job_of(gw, random.Random(1))
     assert isinstance(admit(gw, job.req), Refusal)
-    assert not gw.ready and not knows(gw)
+    assert not gw.ready and not urgent_kinds_known(gw)
     evacuations_listed(gw, Snapshot([], 9))
     found = admit(gw, job.req)
     assert not isinstance(found, Refusal) or found.code != "not_ready"
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -22,16 +22,16 @@
 from bench.choosing import job_of
 from ramppost import clock
 from ramppost.gateway.attempt import Refused, _note
-from ramppost.gateway.peers import found
+from ramppost.gateway.peers import apply_gateway_entry
 from ramppost.gateway.pick import pick
 from ramppost.gateway.rollout_duty import _hear_sessions, progress_seen, write_progress
 from ramppost.gateway.rollouts import Running
 from ramppost.gateway.state import Gateway
 from ramppost.gateway.watchers import (
-    _take_rollout,
-    take_config,
-    upstream_changed,
-    upstreams_listed,
+    _apply_rollout,
+    apply_config,
+    apply_upstream_change,
+    apply_upstream_snapshot,
 )
 from ramppost.platform import names
 from ramppost.platform.documents import rollout_order, routing_table, upstream
@@ -175,17 +175,17 @@
 def test_an_upstream_whose_entry_becomes_unreadable_is_used_no_more(
     gw: Gateway, changes: dict[str, Any]
 ) -> None:
-    upstreams_listed(gw, Snapshot([entry(), entry("i-2")], 1))
-    upstream_changed(gw, Change(entry(revision=2, **changes), False))
+    apply_upstream_snapshot(gw, Snapshot([entry(), entry("i-2")], 1))
+    apply_upstream_change(gw, Change(entry(revision=2, **changes), False))
     assert usable(gw) == ["i-2"]
 
 
 def test_the_last_upstream_whose_entry_becomes_unreadable_is_no_last_resort(gw: Gateway) -> None:
-    upstreams_listed(gw, Snapshot([entry()], 1))
-    upstream_changed(gw, Change(entry(revision=2, state="resting"), False))
+    apply_upstream_snapshot(gw, Snapshot([entry()], 1))
+    apply_upstream_change(gw, Change(entry(revision=2, state="resting"), False))
     assert usable(gw) == []
-    upstreams_listed(gw, Snapshot([entry(revision=3)], 3))
-    upstreams_listed(gw, Snapshot([entry(revision=4, slots=0)], 4))
+    apply_upstream_snapshot(gw, Snapshot([entry(revision=3)], 3))
+    apply_upstream_snapshot(gw, Snapshot([entry(revision=4, slots=0)], 4))
     assert usable(gw) == []
 
 
@@ -197,7 +197,7 @@
         "ramppost.gateway.unreadable.logger.warning", lambda text, *args, **more: lines.append(text)
     )
     for revision in (2, 2, 2, 3):
-        upstreams_listed(gw, Snapshot([entry(revision=revision, slots=0)], 5))
+        apply_upstream_snapshot(gw, Snapshot([entry(revision=revision, slots=0)], 5))
     assert len(lines) == 2
 
 
@@ -205,12 +205,12 @@
 
 
 def test_an_upstream_that_starts_again_under_its_id_is_another_one(gw: Gateway) -> None:
-    upstreams_listed(gw, Snapshot([entry(born=1000)], 1))
+    apply_upstream_snapshot(gw, Snapshot([entry(born=1000)], 1))
     before = gw.members.usable("lm", clock.now())[0]
     gw.suspicion_of(before.key).record_outcome(True, clock.now())
     gw.loads.report(before.key, 20, 7, clock.now())
     gw.links.heard[before.key] = clock.now()
-    upstream_changed(gw, Change(entry(revision=2, born=2000), False))
+    apply_upstream_change(gw, Change(entry(revision=2, born=2000), False))
     after = gw.members.usable("lm", clock.now())[0]
     assert (after.id, after.key != before.key) == (before.id, True)
     assert gw.suspicion_of(after.key).failure_rate(clock.now()) == 0.0
@@ -222,19 +222,19 @@
 @pytest.mark.parametrize("born", [999, 1001])
 def test_a_list_tells_of_new_starts_whatever_the_clock_said(gw: Gateway, born: int) -> None:
     """The time of day may have gone back between two starts."""
-    upstreams_listed(gw, Snapshot([entry(born=1000)], 1))
+    apply_upstream_snapshot(gw, Snapshot([entry(born=1000)], 1))
     before = gw.members.usable("lm", clock.now())[0]
-    upstreams_listed(gw, Snapshot([entry(revision=2, born=born)], 2))
+    apply_upstream_snapshot(gw, Snapshot([entry(revision=2, born=born)], 2))
     after = gw.members.usable("lm", clock.now())[0]
     assert after.key != before.key
 
 
 def test_the_same_news_twice_change_nothing(gw: Gateway) -> None:
-    upstreams_listed(gw, Snapshot([entry(born=1000)], 1))
+    apply_upstream_snapshot(gw, Snapshot([entry(born=1000)], 1))
     before = gw.members.usable("lm", clock.now())[0]
     gw.loads.report(before.key, 20, 7, clock.now())
-    upstream_changed(gw, Change(entry(born=1000), False))
-    upstreams_listed(gw, Snapshot([entry(born=1000)], 1))
+    apply_upstream_change(gw, Change(entry(born=1000), False))
+    apply_upstream_snapshot(gw, Snapshot([entry(born=1000)], 1))
     assert gw.loads.reported(before.key).waiting == 7
 
 
@@ -288,7 +288,7 @@
 
 @pytest.mark.parametrize("addr", ["", "nowhere", "10.0.0.1:", "10.0.0.1:x", "10.0.0.1:99999"])
 def test_a_gateway_whose_address_is_none_is_not_known(gw: Gateway, addr: str) -> None:
-    found(gw, StoredObject("gateway-2", 1, {"addr": addr, "hall": "bole"}, None))
+    apply_gateway_entry(gw, StoredObject("gateway-2", 1, {"addr": addr, "hall": "bole"}, None))
     assert gw.peers.addrs == {}
 
 
@@ -329,13 +329,13 @@
     obj = StoredObject(name, 3, spec, status)
     for decoder in (upstream, rollout_order, routing_table):
         decoder(obj)
-    upstreams_listed(gw, Snapshot([entry("good"), obj], 3))
-    upstream_changed(gw, Change(obj, False))
-    take_config(gw, obj._replace(name=names.CONFIG_NAME))
-    _take_rollout(gw, obj)
+    apply_upstream_snapshot(gw, Snapshot([entry("good"), obj], 3))
+    apply_upstream_change(gw, Change(obj, False))
+    apply_config(gw, obj._replace(name=names.CONFIG_NAME))
+    _apply_rollout(gw, obj)
     progress_seen(gw, obj)
     gw.policies.seen(obj)
-    found(gw, obj)
+    apply_gateway_entry(gw, obj)
     for up in gw.members.usable("lm", clock.now()):
         assert up.slots > 0
     if name != "good":
@@ -352,8 +352,8 @@
     """An upstream was killed and another took its address: until its entry lapsed, each request
     for it was refused with 421, and it stayed as attractive as an idle one.  With four such
     entries beside three live ones retries ran out, and streams were refused for ten seconds."""
-    take_config(gw, StoredObject(names.CONFIG_NAME, 1, config(1), None))
-    upstreams_listed(gw, Snapshot([entry("ghost"), entry("there")], 1))
+    apply_config(gw, StoredObject(names.CONFIG_NAME, 1, config(1), None))
+    apply_upstream_snapshot(gw, Snapshot([entry("ghost"), entry("there")], 1))
     job = job_of(gw, random.Random(1))
     ghost = next(up for up in gw.members.usable("lm", clock.now()) if up.id == "ghost")
     chosen = pick(gw, job, "lm", "small", clock.now())
--- a/tests/test_gateway_feed.py
+++ b/tests/test_gateway_feed.py
@@ -9,12 +9,12 @@
 import pytest
 
 from ramppost import clock
-from ramppost.gateway.feed import feed
-from ramppost.gateway.follow import Followed, Handlers
-from ramppost.gateway.operators import internal
+from ramppost.gateway.feed import feed_handler
+from ramppost.gateway.follow import Handlers, KindReplica
+from ramppost.gateway.operators import internal_handler
 from ramppost.gateway.state import Gateway
-from ramppost.gateway.subscribe import ask_once, wants_feed
-from ramppost.gateway.watchers import feed_wait_s, oldest_s
+from ramppost.gateway.subscribe import needs_feed, poll_once
+from ramppost.gateway.watchers import feed_wait_s, stale_after_s
 from ramppost.platform.store import Change, Changes, Snapshot, StoredObject
 from ramppost.schema.settings import GatewaySettings
 from ramppost.wire.server import listen, serve
@@ -34,25 +34,25 @@
         self.taken: list[str] = []
         for gw, taken in ((self.relay, []), (self.asker, self.taken)):
             for kind in (URGENT, OTHER):
-                gw.followed[kind] = Followed(kind, noting(taken), gw.news, kind == URGENT)
+                gw.replicas[kind] = KindReplica(kind, noting(taken), gw.updates, kind == URGENT)
         # By the hash of their names the first is the relay of the two.
         self.asker.peers.put(RELAY, f"127.0.0.1:{self.port}")
 
     async def start(self) -> None:
-        inner = internal(self.relay)
+        inner = internal_handler(self.relay)
         await curio.spawn(serve, listen("127.0.0.1", self.port), inner, daemon=True)
 
     async def list_both(self, revision: int, age_s: float = 0.0) -> None:
         at = clock.now() - age_s
         for gw in (self.relay, self.asker):
-            for followed in gw.followed.values():
-                await followed.listed(Snapshot([obj("a", revision)], revision), at)
+            for followed in gw.replicas.values():
+                await followed.apply_snapshot(Snapshot([obj("a", revision)], revision), at)
 
     async def change(self, kind: str, name: str, removed: bool = False) -> None:
-        followed = self.relay.followed[kind]
+        followed = self.relay.replicas[kind]
         since = followed.revision or 0
         changes = Changes([Change(obj(name, since + 1), removed)], since + 1)
-        await followed.advanced(since, changes, clock.now())
+        await followed.apply_changes(since, changes, clock.now())
 
 
 def noting(taken: list[str]) -> Handlers:
@@ -86,13 +86,13 @@
         await pair.list_both(5)
         pair.taken.clear()
         began = clock.now()
-        asking = await curio.spawn(ask_once, pair.asker, RELAY)
+        asking = await curio.spawn(poll_once, pair.asker, RELAY)
         await curio.sleep(0.1)
         await pair.change(OTHER, "b", removed=True)
         await asking.join()
         assert clock.now() - began < 0.1 + 0.5 * feed_wait_s(pair.asker)
         assert pair.taken == ["b gone"]
-        assert pair.asker.followed[OTHER].revision == 6
+        assert pair.asker.replicas[OTHER].revision == 6
 
     play(scene)
 
@@ -100,11 +100,11 @@
 def test_a_later_confirmation_is_told_at_once_and_feeds() -> None:
     async def scene(pair: Pair) -> None:
         await pair.list_both(5)
-        asking = await curio.spawn(ask_once, pair.asker, RELAY)
+        asking = await curio.spawn(poll_once, pair.asker, RELAY)
         await curio.sleep(0.2)
-        await pair.relay.followed[URGENT].advanced(5, Changes([], 5), clock.now())
+        await pair.relay.replicas[URGENT].apply_changes(5, Changes([], 5), clock.now())
         assert await asking.join()
-        assert pair.asker.fed_until > clock.now()
+        assert pair.asker.feed_valid_until > clock.now()
 
     play(scene)
 
@@ -113,9 +113,9 @@
     async def scene(pair: Pair) -> None:
         await pair.list_both(5, age_s=1.0)
         confirmed_at = clock.now() - 0.3
-        await pair.relay.followed[URGENT].advanced(5, Changes([], 5), confirmed_at)
-        await ask_once(pair.asker, RELAY)
-        taken_at = pair.asker.followed[URGENT].confirmed_at
+        await pair.relay.replicas[URGENT].apply_changes(5, Changes([], 5), confirmed_at)
+        await poll_once(pair.asker, RELAY)
+        taken_at = pair.asker.replicas[URGENT].confirmed_at
         assert confirmed_at - 0.2 <= taken_at <= confirmed_at
 
     play(scene)
@@ -123,10 +123,10 @@
 
 def test_a_relay_that_lags_behind_the_store_does_not_feed() -> None:
     async def scene(pair: Pair) -> None:
-        await pair.list_both(5, age_s=oldest_s(pair.asker) + 1)
+        await pair.list_both(5, age_s=stale_after_s(pair.asker) + 1)
         await pair.change(OTHER, "b")
-        assert not await ask_once(pair.asker, RELAY)
-        assert pair.asker.fed_until < clock.now()
+        assert not await poll_once(pair.asker, RELAY)
+        assert pair.asker.feed_valid_until < clock.now()
         assert pair.taken[-1] == "b", "what it tells is taken all the same"
 
     play(scene)
@@ -136,7 +136,7 @@
     async def scene(pair: Pair) -> None:
         await pair.list_both(5)
         began = clock.now()
-        assert not await ask_once(pair.asker, RELAY)
+        assert not await poll_once(pair.asker, RELAY)
         assert clock.now() - began >= feed_wait_s(pair.asker)
         assert pair.asker.peers.alive(clock.now()) == []
 
@@ -147,15 +147,15 @@
     """They lag as it does until they notice, and then they are the ones who know."""
 
     async def scene(pair: Pair) -> None:
-        await pair.list_both(5, age_s=oldest_s(pair.relay) + 1)
+        await pair.list_both(5, age_s=stale_after_s(pair.relay) + 1)
         port = free_port()
-        await curio.spawn(serve, listen("127.0.0.1", port), feed(pair.asker), daemon=True)
+        await curio.spawn(serve, listen("127.0.0.1", port), feed_handler(pair.asker), daemon=True)
         pair.relay.peers.put(ASKER, f"127.0.0.1:{port}")
-        assert not await ask_once(pair.relay, ASKER)
+        assert not await poll_once(pair.relay, ASKER)
         assert pair.relay.peers.alive(clock.now()) == [ASKER]
-        await pair.asker.followed[URGENT].advanced(5, Changes([], 5), clock.now())
-        await ask_once(pair.relay, ASKER)
-        assert clock.now() - pair.relay.followed[URGENT].confirmed_at < oldest_s(pair.relay)
+        await pair.asker.replicas[URGENT].apply_changes(5, Changes([], 5), clock.now())
+        await poll_once(pair.relay, ASKER)
+        assert clock.now() - pair.relay.replicas[URGENT].confirmed_at < stale_after_s(pair.relay)
 
     play(scene)
 
@@ -166,8 +166,8 @@
     async def scene(pair: Pair) -> None:
         await pair.list_both(5, age_s=0.5)
         await pair.change(OTHER, "b")
-        assert await ask_once(pair.asker, RELAY)
-        assert pair.asker.fed_until < clock.now()
+        assert await poll_once(pair.asker, RELAY)
+        assert pair.asker.feed_valid_until < clock.now()
 
     play(scene)
 
@@ -176,19 +176,19 @@
     async def scene(pair: Pair) -> None:
         await pair.list_both(5)
         now = clock.now()
-        await pair.asker.followed[URGENT].listed(Snapshot([], 9), now)
-        await pair.relay.followed[URGENT].advanced(5, Changes([], 7), now + 5)
-        await ask_once(pair.asker, RELAY)
-        assert pair.asker.followed[URGENT].revision == 9
-        assert pair.asker.followed[URGENT].confirmed_at == now
+        await pair.asker.replicas[URGENT].apply_snapshot(Snapshot([], 9), now)
+        await pair.relay.replicas[URGENT].apply_changes(5, Changes([], 7), now + 5)
+        await poll_once(pair.asker, RELAY)
+        assert pair.asker.replicas[URGENT].revision == 9
+        assert pair.asker.replicas[URGENT].confirmed_at == now
 
     play(scene)
 
 
 def test_a_relay_that_nobody_has_told_anything_confirms_nothing() -> None:
     async def scene(pair: Pair) -> None:
-        assert not await ask_once(pair.asker, RELAY)
-        assert pair.asker.followed[URGENT].confirmed_at == float("-inf")
+        assert not await poll_once(pair.asker, RELAY)
+        assert pair.asker.replicas[URGENT].confirmed_at == float("-inf")
 
     play(scene)
 
@@ -200,12 +200,12 @@
 
     async def scene(pair: Pair) -> None:
         await pair.list_both(5)
-        await pair.relay.followed[OTHER].listed(Snapshot([obj("b", 7)], 7), float("-inf"))
-        pair.relay.followed[OTHER].confirmed_at = float("-inf")
-        await ask_once(pair.asker, RELAY)
-        assert pair.asker.followed[OTHER].revision == 7
+        await pair.relay.replicas[OTHER].apply_snapshot(Snapshot([obj("b", 7)], 7), float("-inf"))
+        pair.relay.replicas[OTHER].confirmed_at = float("-inf")
+        await poll_once(pair.asker, RELAY)
+        assert pair.asker.replicas[OTHER].revision == 7
         began = clock.now()
-        await ask_once(pair.asker, RELAY)
+        await poll_once(pair.asker, RELAY)
         assert clock.now() - began >= 0.5 * feed_wait_s(pair.asker), "answered at once again"
 
     play(scene)
@@ -213,9 +213,9 @@
 
 def test_a_gateway_that_knows_nothing_is_told_everything() -> None:
     async def scene(pair: Pair) -> None:
-        for followed in pair.relay.followed.values():
-            await followed.listed(Snapshot([obj("a", 4), obj("b", 5)], 5), clock.now())
-        assert await ask_once(pair.asker, RELAY)
+        for followed in pair.relay.replicas.values():
+            await followed.apply_snapshot(Snapshot([obj("a", 4), obj("b", 5)], 5), clock.now())
+        assert await poll_once(pair.asker, RELAY)
         assert pair.taken == ["all 2", "all 2"]
 
     play(scene)
@@ -228,9 +228,9 @@
         if not answers:
             pair.asker.peers.put(RELAY, f"127.0.0.1:{free_port()}")
         await pair.change(URGENT, "b")
-        assert await ask_once(pair.asker, RELAY) == answers
+        assert await poll_once(pair.asker, RELAY) == answers
         assert pair.asker.peers.alive(clock.now()) == ([RELAY] if answers else [])
-        assert pair.asker.peers_answer == answers
+        assert pair.asker.peers_reachable == answers
 
     play(scene)
 
@@ -251,6 +251,6 @@
     for other in (RELAY, ASKER):
         gw.peers.put(other, "127.0.0.1:1")
     now = clock.now()
-    gw.fresh.confirm(now - age_s)
-    gw.outage.failing_since = now if failing else None
-    assert wants_feed(gw, now) == wants
+    gw.freshness.confirm(now - age_s)
+    gw.store_outage.failing_since = now if failing else None
+    assert needs_feed(gw, now) == wants
--- a/tests/test_gateway_follow.py
+++ b/tests/test_gateway_follow.py
@@ -10,12 +10,12 @@
 
 from ramppost import clock
 from ramppost.gateway.follow import (
-    START_PATIENCE_S,
-    Followed,
-    Follower,
+    START_FALLBACK_DELAY_S,
+    FollowConfig,
     Handlers,
-    News,
-    Outage,
+    KindReplica,
+    StoreOutage,
+    UpdateNotifier,
     follow,
 )
 from ramppost.platform.store import Change, Changes, Snapshot, StoreClient, StoredObject
@@ -48,14 +48,14 @@
 class Kind(NamedTuple):
     """A kind that is followed, and what its handlers saw."""
 
-    followed: Followed
+    followed: KindReplica
     seen: Seen
 
 
 @pytest.fixture
 def kind() -> Kind:
     seen = Seen()
-    return Kind(Followed("kind", seen.handlers(), News(), True), seen)
+    return Kind(KindReplica("kind", seen.handlers(), UpdateNotifier(), True), seen)
 
 
 def obj(name: str, revision: int) -> StoredObject:
@@ -64,18 +64,18 @@
 
 def listed(kind: Kind, revision: int, *names: str, at: float = 1.0) -> None:
     objects = [obj(name, revision) for name in names]
-    curio.run(kind.followed.listed(Snapshot(objects, revision), at))
+    curio.run(kind.followed.apply_snapshot(Snapshot(objects, revision), at))
 
 
 def advanced(
     kind: Kind, since: int, revision: int, *names: str, gone: bool = False, at: float = 2.0
 ) -> None:
     changes = [Change(obj(name, revision), gone) for name in names]
-    curio.run(kind.followed.advanced(since, Changes(changes, revision), at))
+    curio.run(kind.followed.apply_changes(since, Changes(changes, revision), at))
 
 
 def told(kind: Kind, revision: int) -> tuple[bool, list[tuple[str, bool]]]:
-    full, changes = kind.followed.told(revision)
+    full, changes = kind.followed.changes_since(revision)
     return full, [(change.obj.name, change.removed) for change in changes]
 
 
@@ -138,7 +138,7 @@
 def test_whoever_is_too_far_back_is_told_everything(
     kind: Kind, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("ramppost.gateway.follow.MAX_LOG", 2)
+    monkeypatch.setattr("ramppost.gateway.follow.MAX_CHANGE_LOG", 2)
     listed(kind, 5)
     for at, name in enumerate("abc"):
         advanced(kind, 5 + at, 6 + at, name)
@@ -183,12 +183,12 @@
     store, port, seen = Store(cuts), free_port(), Seen()
     await curio.spawn(serve, listen("127.0.0.1", port), store.handle, daemon=True)
     fed_until = clock.now() + fed_for_s
-    followed = Followed("kind", seen.handlers(), News(), True)
+    followed = KindReplica("kind", seen.handlers(), UpdateNotifier(), True)
     if known:
-        await followed.listed(Snapshot([], 5), clock.now())
-    follower = Follower(followed, 20.0, 0.0, patience_s, lambda: fed_until, True)
+        await followed.apply_snapshot(Snapshot([], 5), clock.now())
+    follower = FollowConfig(followed, 20.0, 0.0, patience_s, lambda: fed_until, True)
     client = StoreClient(f"127.0.0.1:{port}", Pool())
-    task = await curio.spawn(follow, client, follower, Outage(), daemon=True)
+    task = await curio.spawn(follow, client, follower, StoreOutage(), daemon=True)
     await curio.sleep(for_s)
     await task.cancel()
     return Played(store.calls, len(seen.confirmed))
@@ -223,7 +223,7 @@
 def test_what_is_not_urgent_waits_longer_for_the_feed() -> None:
     assert played(0.3, 5.0, 0.8, known=True) == Played([], 1)
     assert played(0.1, 5.0, 0.6) == Played([], 0)
-    assert played(0.1, 5.0, 0.2 + START_PATIENCE_S) == Played(["list"], 1)
+    assert played(0.1, 5.0, 0.2 + START_FALLBACK_DELAY_S) == Played(["list"], 1)
 
 
 def test_a_watch_that_fails_confirms_nothing() -> None:
--- a/tests/test_gateway_loading.py
+++ b/tests/test_gateway_loading.py
@@ -10,11 +10,11 @@
 
 from ramppost import clock
 from ramppost.gateway.copies import pack, unpack
-from ramppost.gateway.feed import LARGE_BYTES, feed
-from ramppost.gateway.follow import Followed, Handlers
-from ramppost.gateway.loading import load_lacking
-from ramppost.gateway.operators import internal
-from ramppost.gateway.subscribe import ask_once
+from ramppost.gateway.feed import LARGE_OBJECT_BYTES, feed_handler
+from ramppost.gateway.follow import Handlers, KindReplica
+from ramppost.gateway.loading import load_pending
+from ramppost.gateway.operators import internal_handler
+from ramppost.gateway.subscribe import poll_once
 from ramppost.platform import names
 from ramppost.platform.store import Change, Changes, Snapshot, StoredObject
 from ramppost.wire.codec import BadMessage, encode
@@ -22,7 +22,7 @@
 from tests.test_gateway_feed import ASKER, OTHER, RELAY, URGENT, Pair, gateway, play
 from tests.test_gateway_follow import free_port
 
-LARGE = {"x": "y" * LARGE_BYTES}
+LARGE = {"x": "y" * LARGE_OBJECT_BYTES}
 NAME = "big"
 SOON_S = 3.0
 
@@ -33,23 +33,23 @@
 
 async def change(pair: Pair, revision: int) -> None:
     """The relay sees the large object change, as the newest change of all."""
-    followed = pair.relay.followed[URGENT]
+    followed = pair.relay.replicas[URGENT]
     changes = Changes([Change(large(revision), False)], revision)
-    await followed.advanced(followed.revision or 0, changes, clock.now())
+    await followed.apply_changes(followed.revision or 0, changes, clock.now())
 
 
 async def told_of(pair: Pair, revision: int) -> None:
     """The asker is told of the large object, by name."""
     await pair.list_both(5, age_s=0.5)
     await change(pair, revision)
-    await ask_once(pair.asker, RELAY)
+    await poll_once(pair.asker, RELAY)
 
 
 async def loaded(pair: Pair, revision: int) -> None:
     """Load what the asker lacks, until it has this revision."""
-    loader = await curio.spawn(load_lacking, pair.asker, daemon=True)
+    loader = await curio.spawn(load_pending, pair.asker, daemon=True)
     async with curio.timeout_after(SOON_S):
-        while (held := pair.asker.followed[URGENT].whole(NAME)) is None:
+        while (held := pair.asker.replicas[URGENT].complete_object(NAME)) is None:
             await curio.sleep(0.01)
     await loader.cancel()
     assert held == large(revision)
@@ -74,34 +74,34 @@
 async def third_gateway(pair: Pair, revision: int) -> None:
     """Another gateway that the asker knows, and that has the large object."""
     third = gateway("third")
-    third.followed[URGENT] = Followed(
-        URGENT, Handlers(lambda s: None, lambda c: None, lambda at: None), third.news, True
+    third.replicas[URGENT] = KindReplica(
+        URGENT, Handlers(lambda s: None, lambda c: None, lambda at: None), third.updates, True
     )
-    await third.followed[URGENT].listed(Snapshot([large(revision)], revision), 0.0)
+    await third.replicas[URGENT].apply_snapshot(Snapshot([large(revision)], revision), 0.0)
     port = free_port()
-    await curio.spawn(serve, listen("127.0.0.1", port), internal(third), daemon=True)
+    await curio.spawn(serve, listen("127.0.0.1", port), internal_handler(third), daemon=True)
     pair.asker.peers.put("third", f"127.0.0.1:{port}")
 
 
 async def tells_only(pair: Pair) -> None:
     """The relay goes on telling, but gives no copies."""
     port = free_port()
-    await curio.spawn(serve, listen("127.0.0.1", port), feed(pair.relay), daemon=True)
+    await curio.spawn(serve, listen("127.0.0.1", port), feed_handler(pair.relay), daemon=True)
     pair.asker.peers.put(RELAY, f"127.0.0.1:{port}")
 
 
 def test_what_was_told_by_name_is_known_but_not_confirmed_until_it_is_loaded() -> None:
     async def scene(pair: Pair) -> None:
         confirmed: list[float] = []
-        followed = pair.asker.followed[URGENT]
+        followed = pair.asker.replicas[URGENT]
         taken = followed._handlers.on_change
         followed._handlers = Handlers(lambda s: None, taken, confirmed.append)
         await told_of(pair, 6)
         assert followed.revision == 6
-        assert followed.lacking[NAME].revision == 6
+        assert followed.pending[NAME].revision == 6
         assert len(confirmed) == 1, "only the list before"
         await loaded(pair, 6)
-        assert not followed.lacking
+        assert not followed.pending
         assert confirmed[-1] == followed.confirmed_at > confirmed[0]
 
     play(scene)
@@ -151,7 +151,7 @@
         await tells_only(pair)
         await told_of(pair, 6)
         await third_gateway(pair, 6)
-        pair.asker.outage.failing_since = clock.now() if failing else None
+        pair.asker.store_outage.failing_since = clock.now() if failing else None
         await loaded(pair, 6)
         assert len(asked) == (0 if failing else 1)
 
@@ -165,12 +165,12 @@
         asked = await store_of(pair, 6)
         await pair.list_both(5, age_s=0.5)
         stub = StoredObject(NAME, 6, None, None, whole=False)
-        followed = pair.relay.followed[URGENT]
-        await followed.advanced(5, Changes([Change(stub, False)], 6), clock.now())
-        await ask_once(pair.asker, RELAY)
+        followed = pair.relay.replicas[URGENT]
+        await followed.apply_changes(5, Changes([Change(stub, False)], 6), clock.now())
+        await poll_once(pair.asker, RELAY)
         loading = await curio.spawn(loaded, pair, 6)
         await curio.sleep(0.1)
-        await followed.loaded(large(6))
+        await followed.apply_object(large(6))
         await loading.join()
         assert asked == []
 
@@ -184,7 +184,7 @@
         asked = await store_of(pair, None)
         await tells_only(pair)
         await told_of(pair, 6)
-        await curio.spawn(load_lacking, pair.asker, daemon=True)
+        await curio.spawn(load_pending, pair.asker, daemon=True)
         await curio.sleep(2.0)
         assert 3 <= len(asked) <= 10, "0.1 s between two calls at first, 0.5 s at most"
 
@@ -207,10 +207,10 @@
         await told_of(pair, 6)
         await pair.change(OTHER, "b")
         began = clock.now()
-        await ask_once(pair.asker, RELAY)
+        await poll_once(pair.asker, RELAY)
         assert clock.now() - began < 0.2
         assert pair.taken[-1] == "b"
-        assert NAME in pair.asker.followed[URGENT].lacking
+        assert NAME in pair.asker.replicas[URGENT].pending
 
     play(scene)
 
@@ -219,13 +219,13 @@
     async def scene(pair: Pair) -> None:
         await told_of(pair, 6)
         await change(pair, 8)
-        await ask_once(pair.asker, RELAY)
-        followed = pair.asker.followed[URGENT]
-        since = followed.lacking[NAME].since
-        await followed.loaded(large(6))
+        await poll_once(pair.asker, RELAY)
+        followed = pair.asker.replicas[URGENT]
+        since = followed.pending[NAME].since
+        await followed.apply_object(large(6))
         assert pair.taken[-1] == NAME
-        assert followed.lacking[NAME].revision == 8
-        assert followed.lacking[NAME].since == since, "counted from the first that was missed"
+        assert followed.pending[NAME].revision == 8
+        assert followed.pending[NAME].since == since, "counted from the first that was missed"
         await loaded(pair, 8)
 
     play(scene)
@@ -234,14 +234,14 @@
 def test_what_was_told_by_name_is_told_on_by_name_and_what_is_held_is_not_asked_for_again() -> None:
     async def scene(pair: Pair) -> None:
         await told_of(pair, 6)
-        followed = pair.asker.followed[URGENT]
-        assert [c.obj.whole for c in followed.told(5).changes] == [False]
+        followed = pair.asker.replicas[URGENT]
+        assert [c.obj.whole for c in followed.changes_since(5).changes] == [False]
         await loaded(pair, 6)
-        assert [c.obj.whole for c in followed.told(5).changes] == [True]
+        assert [c.obj.whole for c in followed.changes_since(5).changes] == [True]
         stub = StoredObject(NAME, 6, None, None, whole=False)
-        await followed.listed(Snapshot([stub], 7), clock.now())
-        assert not followed.lacking
-        assert followed.whole(NAME) == large(6)
+        await followed.apply_snapshot(Snapshot([stub], 7), clock.now())
+        assert not followed.pending
+        assert followed.complete_object(NAME) == large(6)
 
     play(scene)
 
@@ -250,11 +250,11 @@
     async def scene(pair: Pair) -> None:
         await told_of(pair, 6)
         await pair.change(URGENT, NAME, removed=True)
-        await ask_once(pair.asker, RELAY)
-        followed = pair.asker.followed[URGENT]
-        assert not followed.lacking
-        await followed.loaded(large(6))
-        assert followed.whole(NAME) is None
+        await poll_once(pair.asker, RELAY)
+        followed = pair.asker.replicas[URGENT]
+        assert not followed.pending
+        await followed.apply_object(large(6))
+        assert followed.complete_object(NAME) is None
         assert pair.taken[-1] == f"{NAME} gone"
 
     play(scene)
@@ -269,18 +269,18 @@
         gw.members_listed = True
         gw.table = object()  # type: ignore[assignment]
         now = clock.now()
-        gw.fresh.confirm(now)
-        followed = Followed(
-            names.CONFIG_KIND, Handlers(lambda s: None, lambda c: None, print), gw.news, True
+        gw.freshness.confirm(now)
+        followed = KindReplica(
+            names.CONFIG_KIND, Handlers(lambda s: None, lambda c: None, print), gw.updates, True
         )
-        gw.followed[names.CONFIG_KIND] = followed
+        gw.replicas[names.CONFIG_KIND] = followed
         stub = StoredObject(names.CONFIG_NAME, 6, None, None, whole=False)
-        await followed.listed(Snapshot([stub], 6), now, RELAY)
+        await followed.apply_snapshot(Snapshot([stub], 6), now, RELAY)
         allowed_s = gw.cfg["timing"]["config_apply_ms"] / 1000
-        lacking = followed.lacking[names.CONFIG_NAME]
-        followed.lacking[names.CONFIG_NAME] = lacking._replace(since=now - allowed_s - late_s)
+        lacking = followed.pending[names.CONFIG_NAME]
+        followed.pending[names.CONFIG_NAME] = lacking._replace(since=now - allowed_s - late_s)
         assert gw.ready == ready
-        assert gw.config_known == 6
+        assert gw.config_revision_known == 6
 
     curio.run(scene)
 
--- a/tests/test_gateway_policy.py
+++ b/tests/test_gateway_policy.py
@@ -373,10 +373,10 @@
         events += splitter.feed(stream[start : start + size])
     assert [event.id for event in events] == [str(i) for i in range(1, 9)]
     assert b"".join(event.raw for event in events) == stream
-    assert splitter.rest == b""
+    assert splitter.remainder == b""
 
 
 def test_a_truncated_event_is_held_back() -> None:
     splitter = EventSplitter()
     assert len(splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")) == 1
-    assert splitter.rest == b"id: 2\nda"
+    assert splitter.remainder == b"id: 2\nda"
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -21,10 +21,10 @@
 from ramppost.gateway.serve import _running
 from ramppost.gateway.state import Gateway
 from ramppost.gateway.watchers import (
-    config_listed,
-    confirmed,
-    upstream_changed,
-    upstreams_listed,
+    apply_config_snapshot,
+    apply_upstream_change,
+    apply_upstream_snapshot,
+    confirm_config,
 )
 from ramppost.platform import names
 from ramppost.platform.documents import LEAVING
@@ -64,14 +64,14 @@
 def gw() -> Gateway:
     found = Gateway(SETTINGS)
     take(found, 5, 1)
-    upstreams_listed(found, Snapshot([], 5))
-    found.fresh.confirm(clock.now())
+    apply_upstream_snapshot(found, Snapshot([], 5))
+    found.freshness.confirm(clock.now())
     return found
 
 
 def take(gw: Gateway, revision: int, version: int, **more: Any) -> None:
     obj = StoredObject(names.CONFIG_NAME, revision, config(version, **more), None)
-    config_listed(gw, Snapshot([obj], revision))
+    apply_config_snapshot(gw, Snapshot([obj], revision))
 
 
 def ask(gw: Gateway, prefix: str, key: str = KEYS["kitchen"], host: str = SITE) -> Any:
@@ -92,7 +92,7 @@
 
 def test_a_configuration_that_is_not_understood_leaves_the_last_in_force(gw: Gateway) -> None:
     obj = StoredObject(names.CONFIG_NAME, 9, {"version": "broken"}, None)
-    config_listed(gw, Snapshot([obj], 9))
+    apply_config_snapshot(gw, Snapshot([obj], 9))
     assert version(gw) == 1
 
 
@@ -126,7 +126,7 @@
 def test_a_stale_configuration_refuses_nothing_for_good(
     gw: Gateway, prefix: str, key: str, let_in: bool
 ) -> None:
-    gw.fresh.bound_s = 0
+    gw.freshness.bound_s = 0
     got = ask(gw, prefix, key)
     if let_in:
         assert isinstance(got, Admitted)
@@ -144,9 +144,9 @@
     """A gateway that had lost its relay and the store answered 404 for a route that had been
     confirmed and had to be in force by then: until its keys were too old, 4.7 s after its last
     word from the store, where routes must be in force after 2 s."""
-    gw.fresh = Freshness(gw.fresh.bound_s)
+    gw.freshness = Freshness(gw.freshness.bound_s)
     apply_s = gw.cfg["timing"]["config_apply_ms"] / 1000
-    gw.fresh.confirm(clock.now() - apply_s - late_s)
+    gw.freshness.confirm(clock.now() - apply_s - late_s)
     got = ask(gw, "/nowhere/")
     assert isinstance(got, Refusal)
     assert got.code == code
@@ -165,7 +165,7 @@
 def test_a_stopping_gateway_refuses_what_may_outlast_it(
     gw: Gateway, refusing: Any, refused: set[str]
 ) -> None:
-    gw.refusing = refusing
+    gw.refusal_scope = refusing
     for prefix in (STREAM, ONCE, OPEN):
         got = ask(gw, prefix)
         assert isinstance(got, Refusal) == (prefix in refused)
@@ -183,7 +183,7 @@
         return {engine.id: Told(0.0, 0, True) for engine in engines}
 
     monkeypatch.setattr(gw.backlogs, "ask", ask)
-    upstreams_listed(gw, Snapshot([entry("a"), entry("b")], 6))
+    apply_upstream_snapshot(gw, Snapshot([entry("a"), entry("b")], 6))
     head = ((b"host", SITE.encode()), (names.KEY, KEYS["kitchen"].encode()))
     head = (*head, (names.TOKENS, b"100,40"), (names.PROMPT_PARTS, b"aa:60,bb:40"))
     req = caller_request("POST", STREAM + "x", head, b"")
@@ -204,10 +204,10 @@
     """A process that is frozen while it asks must not send by a configuration that grew old."""
 
     async def frozen(gw: Gateway, *_: Any) -> None:
-        gw.fresh.bound_s = 0
+        gw.freshness.bound_s = 0
 
     monkeypatch.setattr("ramppost.gateway.serve.look", frozen)
-    upstreams_listed(gw, Snapshot([entry("a")], 6))
+    apply_upstream_snapshot(gw, Snapshot([entry("a")], 6))
     head = ((b"host", SITE.encode()), (names.KEY, KEYS["kitchen"].encode()))
     req = caller_request("POST", STREAM + "x", head, b"")
     admitted = admit(gw, req)
@@ -219,8 +219,8 @@
 
 
 def stopping(gw: Gateway, back_in_s: float) -> Gateway:
-    gw.refusing = "all"
-    gw.back_at = clock.now() + back_in_s
+    gw.refusal_scope = "all"
+    gw.resume_at = clock.now() + back_in_s
     gw.peers.put("gateway-2", "127.0.0.1:9", "bole")
     gw.peers.put("gateway-3", "127.0.0.1:9", "bole")
     return gw
@@ -264,29 +264,31 @@
 
 
 def test_removals_of_all_may_be_lapses(gw: Gateway) -> None:
-    upstreams_listed(gw, Snapshot([entry("a"), entry("b")], 6))
-    upstream_changed(gw, Change(entry("a"), True))
+    apply_upstream_snapshot(gw, Snapshot([entry("a"), entry("b")], 6))
+    apply_upstream_change(gw, Change(entry("a"), True))
     assert usable(gw) == {"b"}
-    upstream_changed(gw, Change(entry("b"), True))
+    apply_upstream_change(gw, Change(entry("b"), True))
     assert usable(gw) == {"a", "b"}
-    upstream_changed(gw, Change(entry("b"), False))
+    apply_upstream_change(gw, Change(entry("b"), False))
     assert usable(gw) == {"b"}
 
 
 def test_an_upstream_that_is_leaving_is_not_used(gw: Gateway) -> None:
-    upstreams_listed(gw, Snapshot([entry("a"), entry("b")], 6))
-    upstream_changed(gw, Change(entry("a", LEAVING), False))
+    apply_upstream_snapshot(gw, Snapshot([entry("a"), entry("b")], 6))
+    apply_upstream_change(gw, Change(entry("a", LEAVING), False))
     assert usable(gw) == {"b"}
 
 
 def test_a_configuration_that_is_not_understood_is_not_confirmed(gw: Gateway) -> None:
-    gw.fresh = Freshness(5.0)
-    confirmed(gw, clock.now())
-    assert gw.fresh.known
-    gw.fresh = Freshness(5.0)
-    config_listed(gw, Snapshot([StoredObject(names.CONFIG_NAME, 9, {"version": "x"}, None)], 9))
-    confirmed(gw, clock.now())
-    assert not gw.fresh.known
+    gw.freshness = Freshness(5.0)
+    confirm_config(gw, clock.now())
+    assert gw.freshness.known
+    gw.freshness = Freshness(5.0)
+    apply_config_snapshot(
+        gw, Snapshot([StoredObject(names.CONFIG_NAME, 9, {"version": "x"}, None)], 9)
+    )
+    confirm_config(gw, clock.now())
+    assert not gw.freshness.known
 
 
 def versioned(name: str, version: str) -> StoredObject:
@@ -302,7 +304,7 @@
     gw: Gateway, failed: set[str], chosen: set[str]
 ) -> None:
     listed = [versioned("old", "v1"), versioned("new-1", "v2"), versioned("new-2", "v2")]
-    upstreams_listed(gw, Snapshot(listed, 6))
+    apply_upstream_snapshot(gw, Snapshot(listed, 6))
     gw.rollouts.seen(RolloutOrder("lm", "v2", 10.0, "ordered", 6), clock.now() - 8)
     admitted = ask(gw, STREAM)
     assert isinstance(admitted, Admitted)
--- a/tests/test_hall_feed.py
+++ b/tests/test_hall_feed.py
@@ -15,11 +15,11 @@
 import pytest
 
 from ramppost import clock
-from ramppost.gateway.follow import Followed, Handlers
-from ramppost.gateway.operators import internal
+from ramppost.gateway.follow import Handlers, KindReplica
+from ramppost.gateway.operators import internal_handler
 from ramppost.gateway.state import Gateway
-from ramppost.gateway.subscribe import ANSWER_SLACK_S, FED_GRACE_S, ask_once, subscribe
-from ramppost.gateway.watchers import feed_wait_s, oldest_s
+from ramppost.gateway.subscribe import ANSWER_SLACK_S, FEED_GRACE_S, poll_once, subscribe
+from ramppost.gateway.watchers import feed_wait_s, stale_after_s
 from ramppost.platform.store import Change, Changes, Snapshot, StoredObject
 from ramppost.policy.relays import FOLLOWS_HALL_DEPTH, FOLLOWS_RELAY_DEPTH, RELAY_DEPTH
 from ramppost.schema.settings import GatewaySettings
@@ -40,7 +40,7 @@
     cfg = GatewaySettings(**{**SETTINGS, "name": name, "timing": timing})  # type: ignore[typeddict-item]
     gw = Gateway(cfg)
     handlers = Handlers(lambda snapshot: None, lambda change: None, lambda at: None)
-    gw.followed[KIND] = Followed(KIND, handlers, gw.news, True)
+    gw.replicas[KIND] = KindReplica(KIND, handlers, gw.updates, True)
     return gw
 
 
@@ -64,7 +64,7 @@
 
 async def listening(gw: Gateway, others: Gateway) -> None:
     port = int(others.peers.addrs[gw.cfg["name"]].rpartition(":")[2])
-    await curio.spawn(serve, listen("127.0.0.1", port), internal(gw), daemon=True)
+    await curio.spawn(serve, listen("127.0.0.1", port), internal_handler(gw), daemon=True)
 
 
 def test_a_change_passes_the_hall_s_own_gateway_at_once() -> None:
@@ -73,15 +73,15 @@
         await listening(relay, told)
         await listening(teller, told)
         for gw in (relay, teller, told):
-            await gw.followed[KIND].listed(Snapshot([], 5), clock.now())
+            await gw.replicas[KIND].apply_snapshot(Snapshot([], 5), clock.now())
         for gw in (teller, told):
             await curio.spawn(subscribe, gw, daemon=True)
         await curio.sleep(0.3)
         obj = StoredObject("a", 6, {}, None)
         began = clock.now()
         changes = Changes([Change(obj, False)], 6)
-        await relay.followed[KIND].advanced(5, changes, clock.now())
-        while told.followed[KIND].whole("a") is None and clock.now() < began + 3:
+        await relay.replicas[KIND].apply_changes(5, changes, clock.now())
+        while told.replicas[KIND].complete_object("a") is None and clock.now() < began + 3:
             await curio.sleep(0.005)
         took_s = clock.now() - began
         await end_all()
@@ -97,10 +97,10 @@
 ) -> None:
     relay, teller, told = chain(leave_ms)
     waits_s = [feed_wait_s(gw) for gw in (relay, teller, told)]
-    noticed_s = feed_wait_s(told) + ANSWER_SLACK_S + FED_GRACE_S
+    noticed_s = feed_wait_s(told) + ANSWER_SLACK_S + FEED_GRACE_S
     assert noticed_s + STORE_S < leave_ms / 1000
     assert waits_s[2] > waits_s[1] + ANSWER_SLACK_S + STORE_S / 2
-    assert oldest_s(told) > oldest_s(teller)
+    assert stale_after_s(told) > stale_after_s(teller)
 
 
 def test_one_that_tells_its_hall_and_goes_silent_is_given_up_in_time() -> None:
@@ -114,9 +114,9 @@
             await curio.sleep(60)
 
         await curio.spawn(serve, listen("127.0.0.1", port), silent, daemon=True)
-        await told.followed[KIND].listed(Snapshot([], 5), clock.now())
+        await told.replicas[KIND].apply_snapshot(Snapshot([], 5), clock.now())
         began = clock.now()
-        assert not await ask_once(told, teller.cfg["name"])
+        assert not await poll_once(told, teller.cfg["name"])
         assert teller.cfg["name"] not in told.peers.alive(clock.now())
         assert told.store.pool.idle == {}, "what is open may be as silent"
         return clock.now() - began
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -16,7 +16,7 @@
 
 from ramppost import clock
 from ramppost.gateway.joining import join
-from ramppost.gateway.operators import internal
+from ramppost.gateway.operators import internal_handler
 from ramppost.gateway.peers import GATEWAY_KIND, own_entry
 from ramppost.gateway.state import Gateway
 from ramppost.platform import names
@@ -91,10 +91,10 @@
 async def started(gw: Gateway) -> float:
     """Start a gateway's part that follows the store; seconds until it may serve."""
     inner = listen("127.0.0.1", gw.cfg["internal_port"])
-    await curio.spawn(serve, inner, internal(gw), daemon=True)
+    await curio.spawn(serve, inner, internal_handler(gw), daemon=True)
     began = clock.now()
     await curio.spawn(join, gw, daemon=True)
-    while not (gw.ready and gw.fresh.may_start(clock.now())):
+    while not (gw.ready and gw.freshness.may_start(clock.now())):
         await curio.sleep(0.005)
         assert clock.now() - began < 5, "never ready"
     return clock.now() - began
@@ -233,7 +233,7 @@
         await started(gw)
         stale = [what for what in store.calls if what.startswith("stale")]
         assert stale == [f"stale GET {GATEWAY_KIND}"]
-        assert gw.followed[GATEWAY_KIND].confirmed_at == float("-inf")
+        assert gw.replicas[GATEWAY_KIND].confirmed_at == float("-inf")
 
     play(scene)
 
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -16,7 +16,7 @@
 from ramppost.gateway.pick import candidates
 from ramppost.gateway.regions import Regions
 from ramppost.gateway.state import Gateway
-from ramppost.gateway.watchers import take_config
+from ramppost.gateway.watchers import apply_config
 from ramppost.platform import names
 from ramppost.platform.documents import routing_table
 from ramppost.platform.store import StoredObject
@@ -56,7 +56,7 @@
     route_regions: tuple[str, ...], workspace_regions: tuple[str, ...], allowed: list[str]
 ) -> None:
     gw = Gateway(GatewaySettings(**{**SETTINGS, "regions": REGION_BY_HALL}))
-    take_config(
+    apply_config(
         gw, StoredObject(names.CONFIG_NAME, 1, config_with(list(route_regions), None), None)
     )
     for upstream in UPSTREAMS:
@@ -69,7 +69,7 @@
 
 def test_retries_stay_in_home_regions() -> None:
     gw = Gateway(GatewaySettings(**{**SETTINGS, "regions": REGION_BY_HALL}))
-    take_config(gw, StoredObject(names.CONFIG_NAME, 1, config_with(["north"], None), None))
+    apply_config(gw, StoredObject(names.CONFIG_NAME, 1, config_with(["north"], None), None))
     for upstream in UPSTREAMS:
         gw.members.put(upstream)
     job = job_of(gw, random.Random(1))
--- a/tests/test_retry_slack.py
+++ b/tests/test_retry_slack.py
@@ -34,7 +34,7 @@
         gw = Gateway(cfg)
         for number in range(known):
             gw.peers.put(f"other-{number}", f"10.0.{number // 200}.{number % 200}:7000")
-        budgets.append(gw.budget_of(SERVICE))
+        budgets.append(gw.retry_budget_of(SERVICE))
     return budgets
 
 
@@ -70,11 +70,11 @@
 
 def test_the_part_follows_the_list() -> None:
     gw = Gateway(SETTINGS)
-    before = gw.budget_of(SERVICE).available(NOW)
+    before = gw.retry_budget_of(SERVICE).available(NOW)
     for number in range(40):
         gw.peers.put(f"other-{number}", f"10.0.0.{number}:7000")
-    listed = gw.budget_of(SERVICE).available(NOW)
+    listed = gw.retry_budget_of(SERVICE).available(NOW)
     for number in range(40, 200):
         gw.peers.put(f"other-{number}", f"10.0.0.{number}:7000")
-    assert gw.budget_of(SERVICE).available(NOW) < listed
+    assert gw.retry_budget_of(SERVICE).available(NOW) < listed
     assert before <= listed
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -25,7 +25,7 @@
 from ramppost.gateway.job import Job
 from ramppost.gateway.serve import _running
 from ramppost.gateway.state import Gateway
-from ramppost.gateway.watchers import upstreams_listed, watch_kind
+from ramppost.gateway.watchers import apply_upstream_snapshot, watch_kind
 from ramppost.platform import names
 from ramppost.platform.headers import caller_request
 from ramppost.platform.store import Snapshot
@@ -63,13 +63,13 @@
 async def know_all(gw: Gateway) -> None:
     """The gateway has read all that it has to know at once."""
     for kind in (names.CONFIG_KIND, names.UPSTREAM_KIND):
-        followed = gw.followed[kind]
-        await followed.listed(Snapshot([], 5), clock.now())
+        followed = gw.replicas[kind]
+        await followed.apply_snapshot(Snapshot([], 5), clock.now())
 
 
 def test_a_key_is_not_let_in_by_a_confirmation_from_before(gw: Gateway, suspend: Suspend) -> None:
     gw.members_listed = True
-    gw.fresh.confirm(clock.now())
+    gw.freshness.confirm(clock.now())
     assert isinstance(ask(gw, SAFE), Admitted)
     assert gw.ready
     suspend()
@@ -140,8 +140,8 @@
         return upstream
 
     monkeypatch.setattr("ramppost.gateway.links.connect", connect)
-    upstreams_listed(gw, Snapshot([entry("a")], 6))
-    gw.fresh.confirm(clock.now())
+    apply_upstream_snapshot(gw, Snapshot([entry("a")], 6))
+    gw.freshness.confirm(clock.now())
     admitted = ask(gw, STREAM)
     assert isinstance(admitted, Admitted)
     head = ((b"host", SITE.encode()),)
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -24,7 +24,7 @@
 from ramppost.gateway.model import Upstream
 from ramppost.gateway.pick import candidates, pick, warmup_wait_s
 from ramppost.gateway.state import Gateway
-from ramppost.gateway.watchers import take_config, upstream_changed
+from ramppost.gateway.watchers import apply_config, apply_upstream_change
 from ramppost.platform import names
 from ramppost.platform.store import Change, Snapshot, StoredObject
 from ramppost.policy.backlog import PendingPrompt
@@ -102,7 +102,7 @@
 
 def gateway(name: str, fleet: int, per_s: float) -> Gateway:
     gw = Gateway(GatewaySettings(**{**SETTINGS, "name": name}))
-    take_config(gw, StoredObject(names.CONFIG_NAME, 1, warmup_config(per_s), None))
+    apply_config(gw, StoredObject(names.CONFIG_NAME, 1, warmup_config(per_s), None))
     for number in range(fleet):
         gw.peers.put(f"g-{number}", f"10.0.1.1:{number + 1}", HALLS[number % len(HALLS)])
     gw.peers.listed = True
@@ -137,7 +137,9 @@
     for gw in fleet:
         for number in range(27):
             returning = number < 7
-            upstream_changed(gw, Change(entry(number, 3000.0 if returning else 0.0), removed=False))
+            apply_upstream_change(
+                gw, Change(entry(number, 3000.0 if returning else 0.0), removed=False)
+            )
             if not returning:
                 busy = PendingPrompt(now, 1.0, 0, "small", ())
                 found = next(u for u in gw.members.all() if u.id == f"i-{number}")
@@ -168,7 +170,7 @@
     """A fleet of one gateway with two engines, the second of which is warming up."""
     gw = gateway("g-0", 0, 2.0)
     for number, left_ms in ((0, 0.0), (1, 3000.0)):
-        upstream_changed(gw, Change(entry(number, left_ms), removed=False))
+        apply_upstream_change(gw, Change(entry(number, left_ms), removed=False))
     return gw
 
 
@@ -217,7 +219,7 @@
 def test_requests_sent_before_the_warm_up_is_known_count(single_gateway: Gateway) -> None:
     for _ in range(2):
         assert isinstance(send(single_gateway, "i-0"), OutgoingRequest)
-    upstream_changed(single_gateway, Change(entry(0, 2000.0), removed=False))
+    apply_upstream_change(single_gateway, Change(entry(0, 2000.0), removed=False))
     job = job_of(single_gateway, random.Random(1))
     assert ids_of(candidates(single_gateway, job, "lm", clock.now())) == ["i-1"]
 
@@ -236,7 +238,7 @@
 def test_gateway_without_a_fleet_list_sends_nothing_during_warm_up() -> None:
     gw = gateway("g-0", 0, 2.0)
     gw.peers.listed = False
-    upstream_changed(gw, Change(entry(1, 3000.0), removed=False))
+    apply_upstream_change(gw, Change(entry(1, 3000.0), removed=False))
     job = job_of(gw, random.Random(1))
     assert candidates(gw, job, "lm", clock.now()) == []
     assert warmup_wait_s(gw, job, "lm", clock.now()) == float("inf")
@@ -246,7 +248,7 @@
 def test_entry_with_an_invalid_warm_up_time_removes_the_upstream(
     single_gateway: Gateway, left: Any
 ) -> None:
-    upstream_changed(single_gateway, Change(entry(0, left), removed=False))
+    apply_upstream_change(single_gateway, Change(entry(0, left), removed=False))
     assert ids_of(single_gateway.members.all()) == ["i-1"]
 
 
