--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -17,7 +17,7 @@
 from ramppost.entry.copies import SEND_PERIOD_S
 from ramppost.entry.rollouts import CALM_PERIOD_S, RATINGS_PERIOD_S
 from ramppost.entry.upstreams import BOXES_PERIOD_S, IDLE_POLLS, POLL_S
-from ramppost.policy.claims import FULL_RECORDS, SHARDS
+from ramppost.policy.claims import MAX_HEAD_RECORDS, SHARDS
 
 DOCS: Final = Path(__file__).parents[1] / "docs"
 BEGIN: Final = "<!-- figures: written by `make capacity` -->"
@@ -65,7 +65,7 @@
 RECORDS_S: Final = 2 * KEYED_S
 SHARD_RECORDS_S: Final = RECORDS_S / SHARDS
 COMMITS_S: Final = 1000 / TARGET_WINDOW_MS
-CLOSED_S: Final = RECORDS_S / FULL_RECORDS
+CLOSED_S: Final = RECORDS_S / MAX_HEAD_RECORDS
 
 
 class Line(NamedTuple):
@@ -204,7 +204,7 @@
 def home_role(s: dict[str, float]) -> Role:
     """What the home or deputy of a claim shard bears besides."""
     entry = entry_role(s).lines
-    head = FULL_RECORDS / 2 * record_bytes(s)
+    head = MAX_HEAD_RECORDS / 2 * record_bytes(s)
     group = SHARD_RECORDS_S / COMMITS_S * record_bytes(s)
     writes = COMMITS_S * (head + group)
     calls = SHARD_RECORDS_S * (record_bytes(s) + HEADERS_BYTES)
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from ramppost.policy.routing import Learned, Mean, cascade_stops, learned_order
+from ramppost.policy.routing import LearnedPolicyState, RunningStats, cascade_stops, learned_order
 from ramppost.schema.config import Model, Policy
 
 TARGET = 0.85
@@ -76,7 +76,7 @@
 ) -> Line:
     """A policy that asks one model a request."""
     rng = random.Random(seed)
-    quality, cost = Mean(), 0.0
+    quality, cost = RunningStats(), 0.0
     waiting: deque[tuple[str, str, float]] = deque()
     for number in range(REQUESTS):
         class_name = rng.choices(list(SHARES), list(SHARES.values()))[0]
@@ -93,7 +93,7 @@
 def run_cascade(seed: int) -> Line:
     """Cheapest first, by the engine's own confidence."""
     rng = random.Random(seed)
-    quality, cost = Mean(), 0.0
+    quality, cost = RunningStats(), 0.0
     for _ in range(REQUESTS):
         class_name = rng.choices(list(SHARES), list(SHARES.values()))[0]
         score = _rating(class_name, "small", rng)
@@ -107,15 +107,15 @@
 
 def run_learned(seed: int) -> Line:
     """The learned policy, steered by late ratings."""
-    learned, rng = Learned(), random.Random(seed + 1)
+    learned, rng = LearnedPolicyState(), random.Random(seed + 1)
     order = learned_order(LEARNED)
 
     def late(class_name: str, model: str, score: float) -> None:
-        learned.rate(class_name, model, score)
-        learned.steer(TARGET, score)
+        learned.add_rating(class_name, model, score)
+        learned.update_quality_price(TARGET, score)
 
     def choose(class_name: str, number: int) -> str:
-        learned.used(class_name, TOKENS[class_name])
+        learned.add_token_count(class_name, TOKENS[class_name])
         return order(class_name, MODELS, learned, rng)[0]
 
     return run_single("learned", choose, late, seed)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -25,8 +25,8 @@
 from ramppost.confsync import ConfState
 from ramppost.policy.choice import AgentView, rank_agents
 from ramppost.policy.claims import Shard
-from ramppost.policy.permissions import workspace_of
-from ramppost.policy.session import Session, mint, read_session
+from ramppost.policy.permissions import workspace_by_token
+from ramppost.policy.session import SessionPayload, mint_token, verify_session_token
 from ramppost.schema.config import ConfigDoc
 from ramppost.schema.messages import Claim, ClaimSegment, StatusMsg, Usage
 from ramppost.schema.settings import Box
@@ -284,8 +284,8 @@
     how = f"in this process, best of {REPEATS} rounds"
     doc = doc_of(10)
     keys = doc["session_keys"]
-    session = Session(kind="session", session="s", workspace="w", model="m", version="v")
-    token = mint(keys, session)
+    session = SessionPayload(kind="session", session="s", workspace="w", model="m", version="v")
+    token = mint_token(keys, session)
     small, large = doc_of(10), doc_of(210)
     raw_small, raw_large = encode(small), encode(large)
     adopt_small = timed(lambda: ConfState().adopt(decode_doc(raw_small), "x"), 20)
@@ -293,9 +293,12 @@
     rng = random.Random(1)
     seen = [AgentView(f"10.0.0.{i}:1", "bole", 1, 2, 0.0, 8) for i in range(26)]
     return [
-        Slope("session_cpu", timed(lambda: mint(keys, session), 500), "µs to mint", how),
+        Slope("session_cpu", timed(lambda: mint_token(keys, session), 500), "µs to mint", how),
         Slope(
-            "session_check", timed(lambda: read_session(keys, token, "w"), 500), "µs to check", how
+            "session_check",
+            timed(lambda: verify_session_token(keys, token, "w"), 500),
+            "µs to check",
+            how,
         ),
         Slope(
             "config_entry_bytes", (len(raw_large) - len(raw_small)) / 200, "B per workspace", how
@@ -312,7 +315,7 @@
         ),
         Slope(
             "token_cpu",
-            timed(lambda: workspace_of(large, "nobody"), 200),
+            timed(lambda: workspace_by_token(large, "nobody"), 200),
             "µs, 210 workspaces",
             how,
         ),
@@ -351,7 +354,7 @@
         raw = encode(ClaimSegment(seq=number, nonces=["n"], claims=[claim(number)], ends=[]))
         segment = decode(raw, ClaimSegment)
         assert isinstance(segment, dict)
-        shard.close(segment, 0.0)
+        shard.add_closed_segment(segment, 0.0)
     used = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     return used / count
--- a/ramppost/agent/runner.py
+++ b/ramppost/agent/runner.py
@@ -12,10 +12,10 @@
 from ramppost.agent.engine import Broke, Lost, NotBegun, Ran, cancel_run, run_engine
 from ramppost.agent.plain import Answered, run_service
 from ramppost.agent.state import Agent
-from ramppost.policy.admission import LOWEST, Full, Queued, Waiting
+from ramppost.policy.admission import LOWEST_PRIORITY, Queued, QueuedRequest, Rejected
 from ramppost.policy.pace import Timing
-from ramppost.policy.permissions import ModelVersion, may_run
-from ramppost.policy.rollout import Counts
+from ramppost.policy.permissions import ModelVersion, denial_reason
+from ramppost.policy.rollout import OutcomeCounts
 from ramppost.schema.messages import BillLine, End, RunMsg
 
 TOKENS_PER_PRICE: Final = 1000
@@ -50,20 +50,20 @@
     if msg["service"]:
         ws = next((w for w in doc["workspaces"] if w["name"] == msg["workspace"]), None)
         return "" if ws and msg["service"] in ws["services"] else "forbidden"
-    return may_run(doc, msg["workspace"], ModelVersion(msg["model"], msg["version"]))
+    return denial_reason(doc, msg["workspace"], ModelVersion(msg["model"], msg["version"]))
 
 
 async def take_in(agent: Agent, item: Attempt, msg: RunMsg) -> None:
     """Give the attempt a slot or a place in line and start its task, or refuse it."""
     now = clock.now()
-    who = Waiting(item.attempt, msg["priority"], now + msg["deadline_ms"] / 1000)
-    got = agent.admission.offer(who, now)
-    if isinstance(got, Full):
+    who = QueuedRequest(item.attempt, msg["priority"], now + msg["deadline_ms"] / 1000)
+    got = agent.admission.request_slot(who, now)
+    if isinstance(got, Rejected):
         await item.refuse("full", got.retry_after_s)
         return
     if isinstance(got, Queued):
-        if got.put_out is not None:
-            await _put_out(agent, got.put_out)
+        if got.evicted is not None:
+            await _put_out(agent, got.evicted)
     else:
         item.entered = True
         await item.turn.set()
@@ -74,7 +74,7 @@
     """Someone of lower priority has to leave the line."""
     other = agent.attempts.get(name)
     if other is not None and other.task is not None:
-        wait_s = agent.admission.retry_after(LOWEST)
+        wait_s = agent.admission.retry_after(LOWEST_PRIORITY)
         await other.refuse("full", wait_s)
         await other.task.cancel(blocking=False)
 
@@ -93,12 +93,12 @@
             await _run_model(agent, item, msg)
     finally:
         ran_s = clock.now() - started if item.end is not None else None
-        follower = agent.admission.leave(ran_s)
+        follower = agent.admission.release_slot(ran_s)
         if follower is not None:
             await _enter(agent, follower)
 
 
-async def _enter(agent: Agent, who: Waiting) -> None:
+async def _enter(agent: Agent, who: QueuedRequest) -> None:
     """Tell who waited that it has the slot now."""
     item = agent.attempts.get(who.name)
     if item is not None:
@@ -114,8 +114,8 @@
     except curio.TaskTimeout:
         if item.entered:
             return True
-        agent.admission.drop(item.attempt)
-        wait_s = agent.admission.retry_after(LOWEST)
+        agent.admission.remove(item.attempt)
+        wait_s = agent.admission.retry_after(LOWEST_PRIORITY)
         await item.refuse("deadline", wait_s)
         return False
     return True
@@ -136,13 +136,13 @@
         await item.refuse("upstream_down", DOWN_RETRY_S)
         return
     if isinstance(out, Broke | Lost):
-        agent.count(mv, Counts(bad=1))
+        agent.count(mv, OutcomeCounts(bad=1))
         logger.warning("attempt {} failed: {}", item.attempt, out.reason)
         await item.admit()
         state = "lost" if isinstance(out, Lost) else "failed"
         await item.finish(_end(state, out.reason, tokens_out=len(item.frames)))
         return
-    agent.count(mv, Counts(ok=1, slow=int(agent.slow(mv, pace.timing()))))
+    agent.count(mv, OutcomeCounts(ok=1, slow=int(agent.slow(mv, pace.timing()))))
     state = "cancelled" if item.cancelled or out.finish == "cancelled" else "done"
     cost = out.tokens_out * agent.price(msg["model"]) / TOKENS_PER_PRICE
     _witness(agent, item, msg, out.tokens_out, cost)
@@ -212,7 +212,7 @@
         return
     item.cancelled = True
     if item.state == "waiting" and not item.entered:
-        agent.admission.drop(item.attempt)
+        agent.admission.remove(item.attempt)
         await item.refuse("cancelled")
         if item.task is not None:
             await item.task.cancel(blocking=False)
--- a/ramppost/agent/state.py
+++ b/ramppost/agent/state.py
@@ -10,7 +10,7 @@
 from ramppost.policy.admission import Admission
 from ramppost.policy.pace import Timing, TimingBaseline
 from ramppost.policy.permissions import ModelVersion, model_named, version_state
-from ramppost.policy.rollout import Counted, Counts, counted_as, plus
+from ramppost.policy.rollout import CountKey, OutcomeCounts, add_counts, count_key_of
 from ramppost.schema.messages import BillLine, Load, VersionCount
 from ramppost.schema.settings import AgentSettings
 from ramppost.wire.client import Pool
@@ -34,7 +34,7 @@
         self.admission = Admission(upstream["slots"], cfg.get("queue", 64), reserved)
         self.filer = Filer(self.client, self.name, 1.0, self._filed)
         self.witness: dict[str, tuple[float, BillLine]] = {}
-        self.counts: dict[Counted, Counts] = {}
+        self.counts: dict[CountKey, OutcomeCounts] = {}
         self.paces: dict[str, TimingBaseline] = {}
         self.versions: list[str] = []
         self.up = False
@@ -63,12 +63,12 @@
         drain = adm.drain_per_s()
         return Load(running=adm.running, waiting=adm.waiting, slots=adm.slots, drain_per_s=drain)
 
-    def count(self, mv: ModelVersion, fresh: Counts) -> None:
+    def count(self, mv: ModelVersion, fresh: OutcomeCounts) -> None:
         """Count how a version did; of its roll-outs only the last is kept."""
-        what = counted_as(self.conf.doc, mv) if self.conf.doc else Counted(mv, 0)
+        what = count_key_of(self.conf.doc, mv) if self.conf.doc else CountKey(mv, 0)
         for other in [c for c in self.counts if c.mv == mv and 0 < c.since < what.since]:
             del self.counts[other]
-        self.counts[what] = plus(self.counts.get(what, Counts()), fresh)
+        self.counts[what] = add_counts(self.counts.get(what, OutcomeCounts()), fresh)
 
     def slow(self, mv: ModelVersion, seen: Timing) -> bool:
         """Whether an answer was slow for its model; the stable version's say what is usual."""
--- a/ramppost/entry/ask.py
+++ b/ramppost/entry/ask.py
@@ -9,8 +9,8 @@
 
 from ramppost import ids
 from ramppost.errors import Ran, Refusal, refusal
-from ramppost.policy.permissions import ModelVersion, class_named, parse_model, workspace_of
-from ramppost.policy.session import BadToken, Session, read_session
+from ramppost.policy.permissions import ModelVersion, class_named, parse_model, workspace_by_token
+from ramppost.policy.session import BadToken, SessionPayload, verify_session_token
 from ramppost.schema.config import ConfigDoc, WorkClass, Workspace
 from ramppost.wire.codec import BadMessage, decode
 from ramppost.wire.server import Request, bearer
@@ -66,7 +66,7 @@
     cls: WorkClass
     wanted: ModelVersion
     service: str
-    session: Session | None
+    session: SessionPayload | None
     key: str
     deadline_ms: int
     stream: bool
@@ -95,7 +95,7 @@
 
 def workspace_for(req: Request, doc: ConfigDoc) -> Workspace | Refusal:
     """The workspace of a request's token."""
-    ws = workspace_of(doc, bearer(req))
+    ws = workspace_by_token(doc, bearer(req))
     return ws if ws is not None else refusal("unauthorized", "bearer token missing or unknown")
 
 
@@ -191,11 +191,11 @@
     return int(text)
 
 
-def _session(req: Request, doc: ConfigDoc, ws: Workspace) -> Session | Refusal | None:
+def _session(req: Request, doc: ConfigDoc, ws: Workspace) -> SessionPayload | Refusal | None:
     token = req.headers.get("ramppost-session", "")
     if not token or token == "new":
         return None
-    got = read_session(doc["session_keys"], token, ws["name"])
+    got = verify_session_token(doc["session_keys"], token, ws["name"])
     if isinstance(got, BadToken):
         return refusal("bad_session", f"Ramppost-Session: {got.reason}")
     return got
--- a/ramppost/entry/callers.py
+++ b/ramppost/entry/callers.py
@@ -14,7 +14,7 @@
 from ramppost.entry.state import Entry
 from ramppost.errors import Ran, Refusal, error_body, refusal
 from ramppost.policy.permissions import ModelVersion, allowed, version_state
-from ramppost.policy.session import BadToken, read_place
+from ramppost.policy.session import BadToken, verify_stream_token
 from ramppost.schema.config import ConfigDoc, Workspace
 from ramppost.wire.codec import encode
 from ramppost.wire.server import BadInput, Handler, Reply, Request
@@ -129,7 +129,7 @@
 async def _resume(entry: Entry, ask: Ask, token: str, last: str, sink: Sink) -> Refusal | None:
     """Read a stream on after the event that a caller has last seen, at any entry."""
     assert entry.conf.doc is not None
-    place = read_place(entry.conf.doc["session_keys"], token, ask.ws["name"])
+    place = verify_stream_token(entry.conf.doc["session_keys"], token, ask.ws["name"])
     if isinstance(place, BadToken):
         return refusal("bad_session", f"Ramppost-Stream: {place.reason}")
     if last and not (last.isascii() and last.isdigit()):
--- a/ramppost/entry/claimhome.py
+++ b/ramppost/entry/claimhome.py
@@ -68,9 +68,9 @@
         """Take a claim; the outcome is final."""
         out = await self._claim(claim)
         if isinstance(out, Granted):
-            self.told.take(claim)
+            self.told.add_claim(claim)
         elif isinstance(out, Taken):
-            self.told.take(out.held)
+            self.told.add_claim(out.held)
         return out
 
     async def _claim(self, claim: Claim) -> Outcome:
@@ -78,7 +78,7 @@
         assert not isinstance(out, Free)
         if isinstance(out, Taken) and out.held["nonce"] == claim["nonce"]:
             return Granted()
-        held = self.told.holder(claim) if isinstance(out, NoClaim) else None
+        held = self.told.conflicting_claim(claim) if isinstance(out, NoClaim) else None
         return out if held is None else Taken(held)
 
     async def ran(self, key: str) -> Ran:
@@ -111,7 +111,7 @@
     async def note(self, claim: Claim) -> None:
         """Record the end of a claim of ours; nobody waits for it."""
         self.noting += 1
-        self.told.take(claim)
+        self.told.add_claim(claim)
         await curio.spawn(self._note, claim, daemon=True)
 
     @property
--- a/ramppost/entry/claimlog.py
+++ b/ramppost/entry/claimlog.py
@@ -121,7 +121,7 @@
     def held(self, claim: Claim) -> Taken | None:
         """What is known, without asking, to stand against a claim."""
         state = self.shards.get(shard_of(claim["key"]))
-        found = state.holder(claim) if state else None
+        found = state.conflicting_claim(claim) if state else None
         return Taken(found) if found is not None else None
 
     async def claim(self, claim: Claim) -> Outcome:
@@ -234,8 +234,8 @@
         out = await put(self.client, head_key(shard), segment, version)
         if isinstance(out, Written):
             if full:
-                state.close(head, clock.now())
-            state.take_head(segment, out.version)
+                state.add_closed_segment(head, clock.now())
+            state.update_head(segment, out.version)
             self.read_at[shard] = clock.now()
             return Write.DONE
         if isinstance(out, Unavailable):
@@ -250,7 +250,7 @@
         """Those of a group that no written claim stands against."""
         free: list[_Pending] = []
         for pending in group:
-            held = state.holder(pending.claim)
+            held = state.conflicting_claim(pending.claim)
             if held is None:
                 free.append(pending)
             else:
@@ -272,9 +272,9 @@
                 if not isinstance(closed, Found):
                     self.shards.pop(shard, None)
                     return None
-                state.close(closed.value, clock.now())
+                state.add_closed_segment(closed.value, clock.now())
                 nonces.update(closed.value["nonces"])
-            state.take_head(got.value, got.version)
+            state.update_head(got.value, got.version)
             nonces.update(got.value["nonces"])
         self.read_at[shard] = clock.now()
         return nonces
@@ -297,9 +297,9 @@
                 segment = decode(encode(item["value"]), ClaimSegment)
                 assert not isinstance(segment, BadMessage), f"{after}: {segment}"
                 if after == head_key(shard):
-                    state.take_head(segment, item["version"])
+                    state.update_head(segment, item["version"])
                 else:
-                    state.close(segment, clock.now())
+                    state.add_closed_segment(segment, clock.now())
 
     async def expire(self, shard: int) -> int:
         """Delete closed segments that were seen long ago by this process; how many.
@@ -315,6 +315,6 @@
                 break
             if isinstance(await delete(self.client, segment_key(shard, oldest.seq)), Unavailable):
                 break
-            state.forget(oldest)
+            state.drop_segment(oldest)
             deleted += 1
         return deleted
--- a/ramppost/entry/dispatch.py
+++ b/ramppost/entry/dispatch.py
@@ -17,7 +17,7 @@
 from ramppost.entry.ask import Ask, Trace
 from ramppost.entry.state import Entry
 from ramppost.entry.upstreams import Upstream
-from ramppost.policy.bills import request_of
+from ramppost.policy.bills import request_id_of
 from ramppost.policy.permissions import ModelVersion
 from ramppost.schema.messages import (
     AttachMsg,
@@ -83,7 +83,7 @@
     return RunMsg(
         entry=entry.name,
         agent=agent,
-        request_id=request_of(attempt),
+        request_id=request_id_of(attempt),
         attempt=attempt,
         rev=entry.conf.rev,
         workspace=ask.ws["name"],
--- a/ramppost/entry/operators.py
+++ b/ramppost/entry/operators.py
@@ -11,8 +11,14 @@
 from ramppost.entry.state import Entry
 from ramppost.errors import Refusal, refusal
 from ramppost.platform.objects import Absent, Found, Unavailable, get, put
-from ramppost.policy.intent import BadIntent, apply_intent, difference, effect_of, warnings_for
-from ramppost.policy.permissions import operator_of
+from ramppost.policy.intent import (
+    BadIntent,
+    apply_intent,
+    config_diff,
+    expected_effect,
+    warnings_for,
+)
+from ramppost.policy.permissions import operator_by_token
 from ramppost.schema.config import ConfigDoc, Operator
 from ramppost.schema.messages import Intent, Plan
 from ramppost.settings import check_config_doc
@@ -36,7 +42,7 @@
     if role is None:
         await send_refusal(reply, refusal("not_found", f"no such path: {req.path}"))
         return
-    who = operator_of(doc, bearer(req))
+    who = operator_by_token(doc, bearer(req))
     if who is None:
         await send_refusal(reply, refusal("unauthorized", "operator token missing or unknown"))
         return
@@ -88,10 +94,10 @@
         revision=doc["revision"],
         made_by=who["name"],
         wish=req.body.decode(),
-        difference=difference(doc, fresh),
+        difference=config_diff(doc, fresh),
         checks=["document matches the schema", f"made for revision {doc['revision']}"],
         warnings=warnings_for(doc, intent),
-        effect=effect_of(doc, intent, _share(entry, intent.get("model", ""))),
+        effect=expected_effect(doc, intent, _share(entry, intent.get("model", ""))),
         result=encode(fresh).decode(),
     )
     out = await put(entry.client, PLANS_PREFIX + plan["plan_id"], plan, None)
--- a/ramppost/entry/rollouts.py
+++ b/ramppost/entry/rollouts.py
@@ -17,9 +17,17 @@
 from ramppost.entry.state import Entry
 from ramppost.platform.objects import Unavailable
 from ramppost.platform.ratings import hand_in, ratings_after
-from ramppost.policy.intent import advance, finish, withdraw_trial
+from ramppost.policy.intent import advance_rollout, finish_rollout, withdraw_trial
 from ramppost.policy.permissions import ModelVersion
-from ramppost.policy.rollout import Counted, Counts, Ratings, Verdict, judge, since, trial_of
+from ramppost.policy.rollout import (
+    CountKey,
+    OutcomeCounts,
+    Ratings,
+    Verdict,
+    counts_since,
+    evaluate_rollout,
+    trial_count_key,
+)
 from ramppost.schema.config import ConfigDoc, Rollout
 
 PERIOD_S: Final = 0.2
@@ -35,17 +43,17 @@
     def __init__(self) -> None:
         self.step = -1
         self.step_since = 0.0
-        self.step_before = Counts()
+        self.step_before = OutcomeCounts()
 
 
 async def drive(entry: Entry) -> None:
     """Judge running roll-outs until cancelled."""
-    watched: dict[Counted, Watched] = {}
+    watched: dict[CountKey, Watched] = {}
     while True:
         await curio.sleep(PERIOD_S)
         doc = entry.conf.doc
         running = [r for r in doc["rollouts"] if r["state"] == "running"] if doc else []
-        now = {trial_of(r): r for r in running}
+        now = {trial_count_key(r): r for r in running}
         watched = {trial: seen for trial, seen in watched.items() if trial in now}
         for trial, rollout in now.items():
             if trial not in watched:
@@ -56,15 +64,15 @@
 
 
 async def _judge_one(
-    entry: Entry, doc: ConfigDoc, rollout: Rollout, trial: Counted, seen: Watched
+    entry: Entry, doc: ConfigDoc, rollout: Rollout, trial: CountKey, seen: Watched
 ) -> None:
     stable = ModelVersion(rollout["model"], rollout["stable"])
     now = clock.now()
     counts = entry.ups.totals(trial.mv, trial.since)
     if seen.step != rollout["step"]:
         seen.step, seen.step_since, seen.step_before = rollout["step"], now, counts
-    in_step = since(counts, seen.step_before)
-    verdict = judge(
+    in_step = counts_since(counts, seen.step_before)
+    verdict = evaluate_rollout(
         rollout,
         entry.ups.totals(stable),
         counts,
@@ -84,9 +92,9 @@
     if verdict.action == "withdraw":
         fresh = withdraw_trial(doc, model, verdict.reason)
     elif verdict.action == "advance":
-        fresh = advance(doc, model)
+        fresh = advance_rollout(doc, model)
     else:
-        fresh = finish(doc, model)
+        fresh = finish_rollout(doc, model)
     logger.info("roll-out of {}: {} ({})", model, verdict.action, verdict.reason)
     await change(entry, doc["revision"], fresh, ids.new_id("auto"), CONTROLLER)
 
@@ -123,7 +131,7 @@
 
 def _learn(entry: Entry, request_id: str, class_name: str, mv: ModelVersion, score: float) -> None:
     """Every entry learns from every rating; policies are counted where they chose."""
-    entry.learned.rate(class_name, mv.model, score)
+    entry.learned.add_rating(class_name, mv.model, score)
     served = entry.stats.served.get(request_id)
     if served is None:
         return
@@ -131,4 +139,4 @@
     doc = entry.conf.doc
     for policy in doc["policies"] if doc else []:
         if policy["name"] == served.policy and policy["kind"] == "learned":
-            entry.learned.steer(policy.get("target", 0.0), score)
+            entry.learned.update_quality_price(policy.get("target", 0.0), score)
--- a/ramppost/entry/route.py
+++ b/ramppost/entry/route.py
@@ -15,7 +15,7 @@
     running_rollout,
     version_state,
 )
-from ramppost.policy.routing import ORDERS, Picked, pick_version, policy_for
+from ramppost.policy.routing import MODEL_ORDERS, PickedVersion, pick_version, policy_for
 from ramppost.schema.config import ConfigDoc, Policy
 
 NO_POLICY = ""
@@ -25,7 +25,7 @@
 class Route(NamedTuple):
     """Versions to try in order, and the policy that chose them, if one did."""
 
-    picks: list[Picked]
+    picks: list[PickedVersion]
     policy: Policy | None
 
     @property
@@ -37,7 +37,7 @@
 def route(entry: Entry, ask: Ask, doc: ConfigDoc) -> Route | Refusal:
     """The versions to try for a request by the configuration in force."""
     if ask.service:
-        return Route([Picked(ModelVersion("", ""), False)], None)
+        return Route([PickedVersion(ModelVersion("", ""), False)], None)
     if ask.session is not None:
         return _held(ask, doc)
     if ask.wanted.model == AUTO:
@@ -59,7 +59,7 @@
         return refusal(
             "bad_session", f"the session is on {mv.text}, not {ask.wanted.text.strip('@')}"
         )
-    return Route([Picked(mv, version_state(doc, mv) == "trial")], None)
+    return Route([PickedVersion(mv, version_state(doc, mv) == "trial")], None)
 
 
 def _named(ask: Ask, doc: ConfigDoc) -> Route | Refusal:
@@ -71,7 +71,7 @@
         return _forbidden(ask, mv)
     if state == "withdrawn":
         return refusal("withdrawn", f"{mv.text} was withdrawn")
-    return Route([Picked(mv, state == "trial")], None)
+    return Route([PickedVersion(mv, state == "trial")], None)
 
 
 def _model(entry: Entry, ask: Ask, doc: ConfigDoc, model: str) -> Route | Refusal:
@@ -93,7 +93,7 @@
     if policy is None:
         return refusal("not_found", f"workspace {ask.ws['name']} has no policy for `auto`")
     usable = [m for m in doc["models"] if _pick(entry, ask, doc, m["model"])]
-    order = ORDERS[policy["kind"]](policy)
+    order = MODEL_ORDERS[policy["kind"]](policy)
     names = order(ask.cls["name"], usable, entry.learned, entry.rng)
     if not ask.repeatable:
         names = names[-1:]
@@ -104,7 +104,7 @@
     return Route(found, policy)
 
 
-def _pick(entry: Entry, ask: Ask, doc: ConfigDoc, model: str) -> Picked | None:
+def _pick(entry: Entry, ask: Ask, doc: ConfigDoc, model: str) -> PickedVersion | None:
     def may(mv: ModelVersion) -> bool:
         free = allowed(ask.ws, mv) and mv not in entry.paused
         return free and bool(entry.ups.candidates(mv, ""))
--- a/ramppost/entry/serve.py
+++ b/ramppost/entry/serve.py
@@ -22,8 +22,8 @@
 from ramppost.errors import Refusal, refusal
 from ramppost.platform.ratings import Rated
 from ramppost.policy.permissions import ModelVersion, version_state
-from ramppost.policy.routing import Picked, cascade_stops
-from ramppost.policy.session import Session, StreamPlace, mint
+from ramppost.policy.routing import PickedVersion, cascade_stops
+from ramppost.policy.session import SessionPayload, StreamPayload, mint_token
 from ramppost.schema.messages import BillLine, End
 from ramppost.wire.server import Gone
 
@@ -140,7 +140,7 @@
     return refusal("upstream_failed", "no stage of the cascade answered")
 
 
-def _count_begun(entry: Entry, ask: Ask, chosen: Route, pick: Picked, run: Running) -> None:
+def _count_begun(entry: Entry, ask: Ask, chosen: Route, pick: PickedVersion, run: Running) -> None:
     count = entry.stats.policy(chosen.policy_name)
     count.requests += 1
     count.trial += pick.trial
@@ -232,14 +232,14 @@
     assert entry.conf.doc is not None
     keys = entry.conf.doc["session_keys"]
     held = ask.session
-    session = Session(
+    session = SessionPayload(
         kind="session",
         session=held["session"] if held else f"ses-{run.request_id}",
         workspace=ask.ws["name"],
         model=run.mv.model,
         version=run.mv.version,
     )
-    place = StreamPlace(
+    place = StreamPayload(
         kind="stream",
         workspace=ask.ws["name"],
         request_id=run.request_id,
@@ -248,7 +248,7 @@
         model=run.mv.model,
         version=run.mv.version,
     )
-    await sink.begin(run.request_id, run.mv, mint(keys, session), mint(keys, place))
+    await sink.begin(run.request_id, run.mv, mint_token(keys, session), mint_token(keys, place))
 
 
 async def _settle(entry: Entry, ask: Ask, run: Running, end: End, text: str) -> None:
@@ -271,7 +271,7 @@
     )
     entry.bill(line, run.addr)
     entry.bucket(ask.ws).charge(end["tokens_out"], clock.now())
-    entry.learned.used(ask.cls["name"], end["tokens_out"])
+    entry.learned.add_token_count(ask.cls["name"], end["tokens_out"])
     entry.stats.m_cost.add({"workspace": ask.ws["name"]}, end["cost"])
     entry.stats.m_tokens.add({"model": run.mv.model, "version": run.mv.version}, end["tokens_out"])
     served = entry.stats.served.get(run.request_id)
--- a/ramppost/entry/state.py
+++ b/ramppost/entry/state.py
@@ -17,8 +17,8 @@
 from ramppost.platform.ratings import Rated
 from ramppost.policy.limits import RetryBudget, TokenBucket
 from ramppost.policy.permissions import ModelVersion, running_rollout
-from ramppost.policy.rollout import Counted, Ratings, counted_as, part_of_cap, trial_of
-from ramppost.policy.routing import Learned
+from ramppost.policy.rollout import CountKey, Ratings, count_key_of, split_cap, trial_count_key
+from ramppost.policy.routing import LearnedPolicyState
 from ramppost.schema.config import ConfigDoc, Rollout, Workspace
 from ramppost.schema.messages import BillLine, SettledMsg
 from ramppost.schema.settings import EntrySettings
@@ -61,12 +61,12 @@
         self.copies = Copies(self.ups, self.pool, self.name, keep_s)
         self.bill_agents: dict[str, str] = {}
         self.stats = Stats()
-        self.learned = Learned()
+        self.learned = LearnedPolicyState()
         self.ratings: dict[ModelVersion, Ratings] = {}
         self.to_rate: list[Rated] = []
         self._rating_bucket = TokenBucket(RATED_PER_S, RATED_PER_S, clock.now())
         self.paused: set[ModelVersion] = set()
-        self.exposed: dict[Counted, Exposed] = {}
+        self.exposed: dict[CountKey, Exposed] = {}
         self.retries = RetryBudget()
         self.buckets: dict[str, TokenBucket] = {}
         self.running: dict[str, int] = {}
@@ -81,19 +81,19 @@
         """Whether this entry's part of the cap on a step's exposure has room."""
         if "max_exposed" not in rollout:
             return True
-        trial, step = trial_of(rollout), rollout["step"]
+        trial, step = trial_count_key(rollout), rollout["step"]
         rank = self.ups.rank(f"{trial.mv.text} {trial.since} {step}")
-        part = part_of_cap(rollout["max_exposed"], self.ups.entries(), rank)
+        part = split_cap(rollout["max_exposed"], self.ups.entries(), rank)
         return self._exposed_in(trial, step) < part
 
     def expose(self, doc: ConfigDoc, mv: ModelVersion) -> None:
         """Count a request that goes to a trial."""
         rollout = running_rollout(doc, mv.model)
         step = rollout["step"] if rollout else 0
-        trial = counted_as(doc, mv)
+        trial = count_key_of(doc, mv)
         self.exposed[trial] = Exposed(step, self._exposed_in(trial, step) + 1)
 
-    def _exposed_in(self, trial: Counted, step: int) -> int:
+    def _exposed_in(self, trial: CountKey, step: int) -> int:
         """Requests that went to a trial in a step."""
         seen = self.exposed.get(trial)
         return seen.requests if seen and seen.step == step else 0
--- a/ramppost/entry/stats.py
+++ b/ramppost/entry/stats.py
@@ -12,8 +12,8 @@
 from aioprometheus.collectors import Counter, Gauge, Histogram, Registry
 from hdrh.histogram import HdrHistogram
 
-from ramppost.policy.burn import Class, Window, class_line
-from ramppost.policy.compare import PolicyCount, policy_line
+from ramppost.policy.burn import OutcomeWindow, WorkspaceClass, class_report
+from ramppost.policy.compare import PolicyStats, policy_report
 from ramppost.policy.permissions import ModelVersion
 from ramppost.schema.config import WorkClass
 from ramppost.schema.messages import ClassReport, PolicyReport
@@ -36,7 +36,7 @@
     """Counts of a class of a workspace."""
 
     def __init__(self) -> None:
-        self.window = Window()
+        self.window = OutcomeWindow()
         self.first_ms = HdrHistogram(1, MAX_MS, 2)
 
 
@@ -44,7 +44,7 @@
     """Everything counted."""
 
     def __init__(self) -> None:
-        self.policies: dict[str, PolicyCount] = {}
+        self.policies: dict[str, PolicyStats] = {}
         self.classes: dict[tuple[str, str], ClassCount] = {}
         self.objectives: dict[str, WorkClass] = {}
         self.served: OrderedDict[str, Served] = OrderedDict()
@@ -75,9 +75,9 @@
         ):
             self.registry.register(metric)
 
-    def policy(self, name: str) -> PolicyCount:
+    def policy(self, name: str) -> PolicyStats:
         """Counts of a policy by name."""
-        return self.policies.setdefault(name, PolicyCount())
+        return self.policies.setdefault(name, PolicyStats())
 
     def remember(self, request_id: str, served: Served) -> None:
         """Remember a request until its rating comes, the latest ones only."""
@@ -99,7 +99,7 @@
 
     def policy_reports(self) -> list[PolicyReport]:
         """A line for each policy, with a 95% interval of its mean rating."""
-        return [policy_line(name, count) for name, count in self.policies.items()]
+        return [policy_report(name, count) for name, count in self.policies.items()]
 
     def class_reports(self) -> list[ClassReport]:
         """A line for each class of each workspace."""
@@ -108,8 +108,8 @@
         for (workspace, name), count in self.classes.items():
             share = self.objectives[name].get("objective_share", DEFAULT_OBJECTIVE_SHARE)
             window = count.window
-            line = class_line(
-                Class(workspace, name),
+            line = class_report(
+                WorkspaceClass(workspace, name),
                 window,
                 share,
                 now,
--- a/ramppost/entry/upstreams.py
+++ b/ramppost/entry/upstreams.py
@@ -17,8 +17,8 @@
 from ramppost.platform.boxes import Boxes, box_list
 from ramppost.policy.choice import AgentView, Ejection, choose_subset, rank_agents
 from ramppost.policy.permissions import ModelVersion
-from ramppost.policy.rollout import Counted, Counts, plus
-from ramppost.policy.routing import unit
+from ramppost.policy.rollout import CountKey, OutcomeCounts, add_counts
+from ramppost.policy.routing import hash_fraction
 from ramppost.schema.messages import (
     AgentStatus,
     Head,
@@ -57,8 +57,8 @@
         self.heard_at = 0.0
         self.rev = 0
         self.health = Ejection()
-        self.counts: dict[Counted, Counts] = {}
-        self.past: dict[Counted, Counts] = {}
+        self.counts: dict[CountKey, OutcomeCounts] = {}
+        self.past: dict[CountKey, OutcomeCounts] = {}
         self.polling = False
         self.polled_at = 0.0
 
@@ -75,7 +75,7 @@
         """Take in what a reply tells; a new incarnation counts from nothing."""
         if ids.parse_ticket(ticket).incarnation != ids.parse_ticket(self.ticket).incarnation:
             for what, count in self.counts.items():
-                self.past[what] = plus(self.past.get(what, Counts()), count)
+                self.past[what] = add_counts(self.past.get(what, OutcomeCounts()), count)
             self.counts = {}
         self.ticket = ticket
         self.reported = load["running"] + load["waiting"]
@@ -84,8 +84,8 @@
         self.rev = rev
         self.health.record_success()
         for item in counts:
-            what = Counted(ModelVersion(item["model"], item["version"]), item["since"])
-            self.counts[what] = Counts(item["ok"], item["bad"], item["slow"])
+            what = CountKey(ModelVersion(item["model"], item["version"]), item["since"])
+            self.counts[what] = OutcomeCounts(item["ok"], item["bad"], item["slow"])
 
     def seen(self) -> AgentView:
         """For the choice among agents."""
@@ -139,7 +139,7 @@
     def ordered(self, *salt: str) -> list[str]:
         """All entries in an order that the salt gives, kept until the box list changes."""
         if salt not in self._ordered:
-            self._ordered[salt] = sorted(self.live, key=lambda addr: unit(*salt, addr))
+            self._ordered[salt] = sorted(self.live, key=lambda addr: hash_fraction(*salt, addr))
         return self._ordered[salt]
 
     def rank(self, salt: str) -> int:
@@ -177,13 +177,13 @@
             for up in self.table.values()
         ]
 
-    def totals(self, mv: ModelVersion, since: int | None = None) -> Counts:
+    def totals(self, mv: ModelVersion, since: int | None = None) -> OutcomeCounts:
         """What all agents of the subset have seen of a version, or of it in one roll-out."""
-        total = Counts()
+        total = OutcomeCounts()
         for up in self.table.values():
             for what, count in (*up.counts.items(), *up.past.items()):
                 if what.mv == mv and since in (None, what.since):
-                    total = plus(total, count)
+                    total = add_counts(total, count)
         return total
 
     def take_head(self, up: Upstream, head: Head) -> None:
--- a/ramppost/gateway/attempt.py
+++ b/ramppost/gateway/attempt.py
@@ -229,7 +229,7 @@
         gw.suspicion_of(chosen.upstream.key).record_outcome(failed, now)
     if job.req.session:
         version = chosen.upstream.version
-        gw.rollouts.pins.ran(chosen.service.name, job.req.session, version, now)
+        gw.rollouts.pins.record(chosen.service.name, job.req.session, version, now)
     gw.metrics.count("ramppost_attempts_total", outcome=type(got).__name__.lower())
     logger.info(
         "attempt {}: {}",
--- a/ramppost/gateway/counts.py
+++ b/ramppost/gateway/counts.py
@@ -9,8 +9,8 @@
 from typing import Final, NamedTuple
 
 from ramppost.gateway.metrics import BUCKETS_S, Histogram
-from ramppost.policy.burn import Class, Window, class_line
-from ramppost.policy.compare import PolicyCount, policy_line
+from ramppost.policy.burn import OutcomeWindow, WorkspaceClass, class_report
+from ramppost.policy.compare import PolicyStats, policy_report
 from ramppost.schema.messages import Report
 
 OBJECTIVE_SHARE: Final = 0.99
@@ -37,7 +37,7 @@
     """Counts of a class."""
 
     def __init__(self) -> None:
-        self.window = Window()
+        self.window = OutcomeWindow()
         self.first = Histogram()
 
 
@@ -45,8 +45,8 @@
     """Everything counted."""
 
     def __init__(self) -> None:
-        self.policies: dict[str, PolicyCount] = {}
-        self.classes: dict[Class, ClassCount] = {}
+        self.policies: dict[str, PolicyStats] = {}
+        self.classes: dict[WorkspaceClass, ClassCount] = {}
 
     def ended(self, req: Ended) -> None:
         """Count a request's end."""
@@ -56,7 +56,7 @@
             cls.first.observe(req.took_s)
         if not req.policy:
             return
-        count = self.policies.setdefault(req.policy, PolicyCount())
+        count = self.policies.setdefault(req.policy, PolicyStats())
         count.requests += 1
         count.refused += not req.served
         count.cost += req.cost
@@ -68,9 +68,9 @@
         now = time.time()
         return Report(
             entry=name,
-            policies=[policy_line(policy, count) for policy, count in self.policies.items()],
+            policies=[policy_report(policy, count) for policy, count in self.policies.items()],
             classes=[
-                class_line(
+                class_report(
                     cls,
                     count.window,
                     OBJECTIVE_SHARE,
@@ -83,9 +83,9 @@
         )
 
     def _class_of(self, req: Ended) -> ClassCount:
-        cls = Class(req.workspace, req.route)
+        cls = WorkspaceClass(req.workspace, req.route)
         if cls not in self.classes and len(self.classes) >= MAX_CLASSES:
-            cls = Class("", "others")
+            cls = WorkspaceClass("", "others")
         return self.classes.setdefault(cls, ClassCount())
 
 
--- a/ramppost/gateway/fatal_doc.py
+++ b/ramppost/gateway/fatal_doc.py
@@ -29,7 +29,7 @@
     replace,
 )
 from ramppost.policy.fatal import MAX_FATAL
-from ramppost.policy.routing import unit
+from ramppost.policy.routing import hash_fraction
 from ramppost.schema.messages import FatalDoc
 
 FATAL_KIND: Final = "fatal-requests"
@@ -63,7 +63,7 @@
 
 async def keep_document(gw: Gateway) -> None:
     """Write what is found here, and take out what was answered well, until cancelled."""
-    place = unit("fatal", gw.cfg["name"])
+    place = hash_fraction("fatal", gw.cfg["name"])
     while True:
         await curio.sleep(LOOK_S)
         if not _differs(gw):
--- a/ramppost/gateway/models.py
+++ b/ramppost/gateway/models.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from ramppost.gateway.model import Route
-from ramppost.policy.policydoc import models_of
+from ramppost.policy.policydoc import select_models
 from ramppost.policy.pressure import relaxed_threshold
 from ramppost.policy.routing import DEFAULT_THRESHOLD, cascade_stops
 from ramppost.schema.config import Policy
@@ -41,7 +41,7 @@
     """
     if not any_model or not route.models:
         return ModelPlan(("",), policy)
-    models = models_of(policy, route.models)
+    models = select_models(policy, route.models)
     if not may_retry or route.attempts < 2:
         return ModelPlan(models[-1:], policy)
     return ModelPlan(models, policy)
--- a/ramppost/gateway/operators.py
+++ b/ramppost/gateway/operators.py
@@ -27,8 +27,14 @@
     read,
     replace,
 )
-from ramppost.policy.intent import BadIntent, apply_intent, difference, effect_of, warnings_for
-from ramppost.policy.permissions import operator_of
+from ramppost.policy.intent import (
+    BadIntent,
+    apply_intent,
+    config_diff,
+    expected_effect,
+    warnings_for,
+)
+from ramppost.policy.permissions import operator_by_token
 from ramppost.policy.policydoc import from_config
 from ramppost.schema.config import Operator, PolicyDoc
 from ramppost.schema.messages import (
@@ -89,7 +95,7 @@
     role = "confirm" if confirming else REQUIRED_ROLES.get(req.path)
     if role is None:
         return refusal("not_found", f"no such path: {req.path}")
-    operator = operator_of(gw.policies.config(), bearer(req))
+    operator = operator_by_token(gw.policies.config(), bearer(req))
     if operator is None:
         return refusal("unauthorized", "operator token missing or unknown")
     if role not in operator["roles"]:
@@ -120,10 +126,10 @@
         revision=gw.policies.revision,
         made_by=operator["name"],
         wish=req.body.decode(),
-        difference=difference(config, changed),
+        difference=config_diff(config, changed),
         checks=[f"made for revision {gw.policies.revision}"],
         warnings=warnings_for(config, intent),
-        effect=effect_of(config, intent, 1.0),
+        effect=expected_effect(config, intent, 1.0),
         result=encode(from_config(changed, plan_id, operator["name"])).decode(),
     )
     out = await create(gw.store, PLAN_KIND, plan_id, plan)
--- a/ramppost/gateway/pick.py
+++ b/ramppost/gateway/pick.py
@@ -26,7 +26,7 @@
     rank_plain_upstreams,
     select_candidates,
 )
-from ramppost.policy.routing import unit
+from ramppost.policy.routing import hash_fraction
 from ramppost.policy.urgency import urgency_level
 
 USUAL_PLAIN_S: Final = 0.03
@@ -69,7 +69,7 @@
     targets = job.route.targets
     if len(targets) == 1:
         return targets[0].service
-    place = unit("target", job.route.name, job.req.session or job.req.attempt_id)
+    place = hash_fraction("target", job.route.name, job.req.session or job.req.attempt_id)
     place *= sum(target.weight for target in targets)
     for target in targets:
         place -= target.weight
--- a/ramppost/gateway/policies.py
+++ b/ramppost/gateway/policies.py
@@ -8,7 +8,13 @@
 
 from ramppost.gateway.model import RoutingTable
 from ramppost.platform.store import StoredObject
-from ramppost.policy.policydoc import DEFAULT_POLICY, Known, as_config, empty_doc, policy_of
+from ramppost.policy.policydoc import (
+    DEFAULT_POLICY,
+    PlatformCatalog,
+    effective_policy,
+    empty_doc,
+    to_config,
+)
 from ramppost.schema.config import ConfigDoc, Policy, PolicyDoc
 from ramppost.wire.codec import BadMessage, decode, encode
 
@@ -24,7 +30,7 @@
         self.doc: PolicyDoc = empty_doc([])
         self.revision = 0
         self._config: ConfigDoc | None = None
-        self._known = Known({}, [])
+        self._known = PlatformCatalog({}, [])
 
     def seen(self, obj: StoredObject) -> None:
         """A document is in the store; one that is older or not understood changes nothing."""
@@ -50,16 +56,16 @@
             if service.engine is not None:
                 prices |= service.engine.prices
         names = sorted({ws.name for ws in (table.keys or {}).values()})
-        self._known, self._config = Known(prices, names), None
+        self._known, self._config = PlatformCatalog(prices, names), None
 
     def config(self) -> ConfigDoc:
         """The whole configuration, as intents are applied to it."""
         if self._config is None:
-            self._config = as_config(self.doc, max(1, self.revision), self._known)
+            self._config = to_config(self.doc, max(1, self.revision), self._known)
         return self._config
 
     def of(self, workspace: str, who: str) -> Policy:
         """The policy of a workspace's session or request."""
         if not self.doc["workspaces"]:
             return DEFAULT_POLICY
-        return policy_of(self.config(), workspace, who)
+        return effective_policy(self.config(), workspace, who)
--- a/ramppost/gateway/rollout_duty.py
+++ b/ramppost/gateway/rollout_duty.py
@@ -32,8 +32,8 @@
     set_status,
 )
 from ramppost.policy.pace import Timing, TimingBaseline
-from ramppost.policy.ramp import COMPLETE_AT, STEPS, TELL_AT
-from ramppost.policy.routing import unit
+from ramppost.policy.ramp import ANNOUNCE_AT, COMPLETE_AT, RAMP_STEPS
+from ramppost.policy.routing import hash_fraction
 from ramppost.wire.codec import BadMessage
 
 TICK_S: Final = 0.1
@@ -44,7 +44,7 @@
 """Part of a roll-out's time by which the sessions of others are read before any moves."""
 PROGRESS_KIND: Final = "rollout-progress"
 SESSIONS_KIND: Final = "rollout-sessions"
-FIRST_MOVES_AT: Final = STEPS[1].begins
+FIRST_MOVES_AT: Final = RAMP_STEPS[1].start
 
 
 class OldSessions(TypedDict):
@@ -100,7 +100,7 @@
             if rollout.order.state != "ordered":
                 continue
             now = clock.now()
-            place = unit("duty", gw.cfg["name"], rollout.order.service)
+            place = hash_fraction("duty", gw.cfg["name"], rollout.order.service)
             part = rollout.part(now - gw.peers.write_delay_s(SPREAD_S, place, now))
             if rollout.withdrawn:
                 await _end(gw, rollout, completed=False)
@@ -156,7 +156,7 @@
     A session that goes on at another gateway would else be moved there.
     """
     part = rollout.part(now)
-    if part >= TELL_AT and not rollout.told:
+    if part >= ANNOUNCE_AT and not rollout.told:
         rollout.told = True
         await _tell_sessions(gw, rollout, now)
     if part >= FIRST_MOVES_AT - HEAR_EARLY and not rollout.heard:
@@ -166,7 +166,7 @@
 
 async def _tell_sessions(gw: Gateway, rollout: Rollout, now: float) -> None:
     order = rollout.order
-    sessions = gw.rollouts.pins.under_way(order.service, order.version, now)
+    sessions = gw.rollouts.pins.sessions_to_announce(order.service, order.version, now)
     if not sessions:
         return
     name = f"{order.service}.{gw.cfg['name']}"
@@ -196,12 +196,12 @@
 
 async def _note_progress(gw: Gateway, rollout: Rollout, part: float, noted: dict[str, int]) -> None:
     """Keep in the store which step a roll-out has reached."""
-    step = sum(part >= step.begins for step in STEPS)
+    step = sum(part >= step.start for step in RAMP_STEPS)
     key = f"{rollout.order.service}/{rollout.order.version}"
     if step <= noted.get(key, 0):
         return
     noted[key] = step
-    if gw.rollouts.known_part(rollout.order) < STEPS[step - 1].begins:
+    if gw.rollouts.known_part(rollout.order) < RAMP_STEPS[step - 1].start:
         await write_progress(gw, rollout, part)
 
 
--- a/ramppost/gateway/rollouts.py
+++ b/ramppost/gateway/rollouts.py
@@ -10,8 +10,8 @@
 from typing import NamedTuple
 
 from ramppost.gateway.model import RolloutOrder, Upstream
-from ramppost.policy.guard import Tally, reason_against
-from ramppost.policy.ramp import HALF, Pins, on_new
+from ramppost.policy.guard import AnswerTally, withdrawal_reason
+from ramppost.policy.ramp import UNPIN_AT, SessionPins, uses_new_version
 
 
 class Running:
@@ -20,8 +20,8 @@
     def __init__(self, order: RolloutOrder, seen_at: float) -> None:
         self.order = order
         self.began_at = seen_at
-        self.stable = Tally()
-        self.trial = Tally()
+        self.stable = AnswerTally()
+        self.trial = AnswerTally()
         self.trial_upstreams = 1
         self._sides: tuple[list[Upstream], Sides] | None = None
         self.held: set[str] = set()
@@ -73,7 +73,7 @@
     """The newest order of each service, and where sessions ran."""
 
     def __init__(self, session_s: float) -> None:
-        self.pins = Pins(session_s)
+        self.pins = SessionPins(session_s)
         self._by_service: dict[str, Running] = {}
         self._progress: dict[str, Progress] = {}
 
@@ -132,12 +132,12 @@
             return Side(old, [])
         if found.order.state == "completed":
             return Side(new, []) if new else Side(old, [])
-        pinned = self.pins.version(service, session, now) if session else ""
+        pinned = self.pins.pinned_version(service, session, now) if session else ""
         part = found.part(now)
-        held = part < HALF and session in found.held and pinned != version
-        if new and not held and on_new(service, version, session or who, part, pinned):
+        held = part < UNPIN_AT and session in found.held and pinned != version
+        if new and not held and uses_new_version(service, version, session or who, part, pinned):
             return Side(new, old)
-        return Side(old, new if part >= HALF else [])
+        return Side(old, new if part >= UNPIN_AT else [])
 
     def judge(self, service: str, upstream: Upstream, bad: bool, slow: bool) -> str:
         """Take in an answer; gives why the version has to be withdrawn, if it newly has to."""
@@ -146,5 +146,5 @@
             return ""
         trial = upstream.version == found.order.version
         (found.trial if trial else found.stable).add(upstream.key, bad, slow)
-        found.withdrawn = reason_against(found.stable, found.trial, found.trial_upstreams)
+        found.withdrawn = withdrawal_reason(found.stable, found.trial, found.trial_upstreams)
         return found.withdrawn
--- a/ramppost/gateway/serve.py
+++ b/ramppost/gateway/serve.py
@@ -29,7 +29,7 @@
 from ramppost.gateway.state import Gateway
 from ramppost.platform.headers import Headers, refusal_headers
 from ramppost.policy.fatal import ObservedRun, evidence_level
-from ramppost.policy.policydoc import READ_PRICE_PART
+from ramppost.policy.policydoc import INPUT_PRICE_RATIO
 from ramppost.wire.server import Gone
 
 MAX_CONNECT_FAILURES: Final = 4
@@ -133,7 +133,7 @@
         got = await attempt(gw, job, chosen, model)
         if isinstance(got, Running):
             if job.req.prompt is not None:
-                _charge(job, got, READ_PRICE_PART * job.req.prompt.tokens_in)
+                _charge(job, got, INPUT_PRICE_RATIO * job.req.prompt.tokens_in)
             if not _worth_another(gw, job, service, got, reply):
                 return got
             await release(got, False)
--- a/ramppost/policy/burn.py
+++ b/ramppost/policy/burn.py
@@ -16,7 +16,7 @@
 SLOW_S: Final = 3600.0
 
 
-class Window:
+class OutcomeWindow:
     """Good and bad requests of the last hour, in buckets of ten seconds."""
 
     def __init__(self) -> None:
@@ -43,10 +43,10 @@
         return sum(b for _, b in inside) / total if total else 0.0
 
 
-def burn(bad_share: float, objective: float) -> float:
+def burn_rate(bad_share: float, objective: float) -> float:
     """Bad share over the share that the objective leaves.
 
-    >>> burn(0.02, 0.99)
+    >>> burn_rate(0.02, 0.99)
     2.0
     """
     return round(bad_share / max(1e-9, 1 - objective), 6)
@@ -58,15 +58,20 @@
     return 1 - bad / allowed if allowed else 1.0
 
 
-class Class(NamedTuple):
+class WorkspaceClass(NamedTuple):
     """A class of requests of a workspace."""
 
     workspace: str
     name: str
 
 
-def class_line(
-    cls: Class, window: Window, share: float, now: float, p50_ms: float, p99_ms: float
+def class_report(
+    cls: WorkspaceClass,
+    window: OutcomeWindow,
+    share: float,
+    now: float,
+    p50_ms: float,
+    p99_ms: float,
 ) -> ClassReport:
     """What a report says of a class; `share` is the part of requests that must be good."""
     return ClassReport(
@@ -74,8 +79,8 @@
         class_name=cls.name,
         good=window.good,
         bad=window.bad,
-        fast_burn=burn(window.bad_share(FAST_S, now), share),
-        slow_burn=burn(window.bad_share(SLOW_S, now), share),
+        fast_burn=burn_rate(window.bad_share(FAST_S, now), share),
+        slow_burn=burn_rate(window.bad_share(SLOW_S, now), share),
         budget_left=budget_left(window.good, window.bad, share),
         p50_ms=p50_ms,
         p99_ms=p99_ms,
--- a/ramppost/policy/choice.py
+++ b/ramppost/policy/choice.py
@@ -12,7 +12,7 @@
 import random
 from typing import Final, NamedTuple
 
-from ramppost.policy.routing import unit
+from ramppost.policy.routing import hash_fraction
 from ramppost.schema.settings import Box
 
 AFFINITY_LOAD_FACTOR: Final = 1.25
@@ -43,7 +43,7 @@
             pools.setdefault(box.get("pool", ""), []).append(box)
     chosen: list[Box] = []
     for members in pools.values():
-        ranked = sorted(members, key=lambda b: unit("subset", node, b["name"]))
+        ranked = sorted(members, key=lambda b: hash_fraction("subset", node, b["name"]))
         chosen += ranked[:size]
     return chosen
 
@@ -73,7 +73,7 @@
 
 
 def _prefix_home(agents: list[AgentView], loads: dict[str, float], prefix: str) -> str | None:
-    home = min(agents, key=lambda s: unit("prefix", prefix, s.addr))
+    home = min(agents, key=lambda s: hash_fraction("prefix", prefix, s.addr))
     mean = sum(loads.values()) / len(loads)
     bound = mean * AFFINITY_LOAD_FACTOR + AFFINITY_SLACK_REQUESTS / max(1, home.slots)
     return home.addr if loads[home.addr] <= bound else None
--- a/ramppost/policy/claims.py
+++ b/ramppost/policy/claims.py
@@ -22,8 +22,8 @@
 SHARDS: Final = 16
 SEQ_DIGITS: Final = 10
 KEY_BYTES: Final = 16
-KEY_FORM: Final = re.compile(f"[0-9a-f]{{{2 * KEY_BYTES}}}")
-FULL_RECORDS: Final = 64
+KEY_PATTERN: Final = re.compile(f"[0-9a-f]{{{2 * KEY_BYTES}}}")
+MAX_HEAD_RECORDS: Final = 64
 """A head with so many records is closed.  All entries must agree on it: where they
 don't, one could close a head that another still adds to."""
 
@@ -36,7 +36,7 @@
 
 def is_claim_key(text: str) -> bool:
     """Whether a text has the form of a claim key."""
-    return KEY_FORM.fullmatch(text) is not None
+    return KEY_PATTERN.fullmatch(text) is not None
 
 
 def shard_of(key: str) -> int:
@@ -59,7 +59,7 @@
     return f"{shard_prefix(shard)}{seq:0{SEQ_DIGITS}d}"
 
 
-class Held(NamedTuple):
+class StoredClaim(NamedTuple):
     """A claim as it is kept for hours: without its key, and sharing what repeats."""
 
     seq: int
@@ -68,7 +68,7 @@
     stage: int
     request_id: str
     entry: str
-    tickets: tuple[str, ...]
+    agents: tuple[str, ...]
     model: str
     version: str
     at_s: int
@@ -76,8 +76,8 @@
     body: str
 
 
-def _held(claim: Claim, seq: int) -> Held:
-    return Held(
+def _stored_claim(claim: Claim, seq: int) -> StoredClaim:
+    return StoredClaim(
         seq,
         claim["nonce"],
         claim["generation"],
@@ -93,7 +93,7 @@
     )
 
 
-def _claim(key: str, held: Held) -> Claim:
+def _claim_message(key: str, held: StoredClaim) -> Claim:
     return Claim(
         key=key,
         nonce=held.nonce,
@@ -101,7 +101,7 @@
         stage=held.stage,
         request_id=held.request_id,
         entry=held.entry,
-        candidates=[Candidate(addr=ids.address(t), agent=t) for t in held.tickets],
+        candidates=[Candidate(addr=ids.address(t), agent=t) for t in held.agents],
         model=held.model,
         version=held.version,
         at_s=held.at_s,
@@ -110,7 +110,7 @@
     )
 
 
-def _end(claim: Claim) -> ClaimEnd:
+def _claim_end(claim: Claim) -> ClaimEnd:
     assert claim["state"] != "open"
     return ClaimEnd(
         key=claim["key"],
@@ -120,7 +120,7 @@
     )
 
 
-class Closed(NamedTuple):
+class ClosedSegment(NamedTuple):
     """A closed segment: its number, when it was first seen, and its keys."""
 
     seq: int
@@ -134,30 +134,30 @@
     def __init__(self) -> None:
         self.head = ClaimSegment(seq=0, nonces=[], claims=[], ends=[])
         self.head_version: int | None = None
-        self.closed: deque[Closed] = deque()
-        self._claims: dict[str, Held] = {}
+        self.closed: deque[ClosedSegment] = deque()
+        self._claims: dict[str, StoredClaim] = {}
 
-    def close(self, segment: ClaimSegment, now: float) -> None:
+    def add_closed_segment(self, segment: ClaimSegment, now: float) -> None:
         """Take in a closed segment; closed ones come in order, maybe twice."""
         if self.closed and segment["seq"] <= self.closed[-1].seq:
             return
-        self._take_all(segment)
+        self._add_segment(segment)
         keys = [item["key"] for item in (*segment["claims"], *segment["ends"])]
-        self.closed.append(Closed(segment["seq"], now, keys))
+        self.closed.append(ClosedSegment(segment["seq"], now, keys))
 
-    def take_head(self, segment: ClaimSegment, version: int) -> None:
+    def update_head(self, segment: ClaimSegment, version: int) -> None:
         """Take in the head as it was at a version of its object, if that is news."""
         if self.head_version is not None and version <= self.head_version:
             return
-        self._take_all(segment)
+        self._add_segment(segment)
         self.head, self.head_version = segment, version
 
     def next_head(self, nonce: str, claims: list[Claim]) -> ClaimSegment:
         """The head with a group added, or a new one begun with it if it is full."""
         head = self.head
         begun = [claim for claim in claims if claim["state"] == "open"]
-        ends = [_end(claim) for claim in claims if claim["state"] != "open"]
-        if len(head["claims"]) + len(head["ends"]) >= FULL_RECORDS:
+        ends = [_claim_end(claim) for claim in claims if claim["state"] != "open"]
+        if len(head["claims"]) + len(head["ends"]) >= MAX_HEAD_RECORDS:
             return ClaimSegment(seq=head["seq"] + 1, nonces=[nonce], claims=begun, ends=ends)
         return ClaimSegment(
             seq=head["seq"],
@@ -166,23 +166,25 @@
             ends=[*head["ends"], *ends],
         )
 
-    def take(self, claim: Claim, seq: int = 0) -> None:
+    def add_claim(self, claim: Claim, seq: int = 0) -> None:
         """Take in a claim that is known to be written."""
         held = self._claims.get(claim["key"])
-        if held is None or _follows(claim, held):
-            self._claims[claim["key"]] = _held(claim, seq)
+        if held is None or _supersedes(claim, held):
+            self._claims[claim["key"]] = _stored_claim(claim, seq)
 
     def get(self, key: str) -> Claim | None:
         """The claim of a key."""
         held = self._claims.get(key)
-        return None if held is None else _claim(key, held)
+        return None if held is None else _claim_message(key, held)
 
-    def holder(self, claim: Claim) -> Claim | None:
+    def conflicting_claim(self, claim: Claim) -> Claim | None:
         """The claim that stands against this one, if any."""
         held = self._claims.get(claim["key"])
-        return None if held is None or _follows(claim, held) else _claim(claim["key"], held)
+        return (
+            None if held is None or _supersedes(claim, held) else _claim_message(claim["key"], held)
+        )
 
-    def forget(self, closed: Closed) -> None:
+    def drop_segment(self, closed: ClosedSegment) -> None:
         """Forget the claims whose last word is in a closed segment that was deleted."""
         self.closed.remove(closed)
         for key in closed.keys:
@@ -195,20 +197,20 @@
         for key in list(self._claims)[: max(0, len(self._claims) - count)]:
             del self._claims[key]
 
-    def _take_all(self, segment: ClaimSegment) -> None:
+    def _add_segment(self, segment: ClaimSegment) -> None:
         for claim in segment["claims"]:
-            self.take(claim, segment["seq"])
+            self.add_claim(claim, segment["seq"])
         for end in segment["ends"]:
-            self._take_end(end, segment["seq"])
+            self._add_end(end, segment["seq"])
 
-    def _take_end(self, end: ClaimEnd, seq: int) -> None:
+    def _add_end(self, end: ClaimEnd, seq: int) -> None:
         held = self._claims.get(end["key"])
         same = held and (held.request_id, held.generation) == (end["request_id"], end["generation"])
         if held and same and held.state == "open":
             self._claims[end["key"]] = held._replace(state=end["state"], seq=seq)
 
 
-def _follows(claim: Claim, held: Held) -> bool:
+def _supersedes(claim: Claim, held: StoredClaim) -> bool:
     """Whether a claim is a later generation of the request held, or its end."""
     if claim["request_id"] != held.request_id:
         return False
--- a/ramppost/policy/compare.py
+++ b/ramppost/policy/compare.py
@@ -8,14 +8,14 @@
 
 from typing import Final
 
-from ramppost.policy.routing import Mean
+from ramppost.policy.routing import RunningStats
 from ramppost.schema.messages import PolicyReport
 
 Z95: Final = 1.96
 """Half of a 95% interval, in standard errors."""
 
 
-class PolicyCount:
+class PolicyStats:
     """Counts of a policy."""
 
     def __init__(self) -> None:
@@ -23,10 +23,10 @@
         self.refused = 0
         self.cost = 0.0
         self.trial = 0
-        self.ratings = Mean()
+        self.ratings = RunningStats()
 
 
-def policy_line(name: str, count: PolicyCount) -> PolicyReport:
+def policy_report(name: str, count: PolicyStats) -> PolicyReport:
     """What a report says of a policy, with a 95% interval of its quality."""
     mean, n = count.ratings.mean, count.ratings.n
     half = Z95 * count.ratings.sd / n**0.5 if n else 0.0
--- a/ramppost/policy/guard.py
+++ b/ramppost/policy/guard.py
@@ -9,7 +9,7 @@
 
 from typing import Final
 
-from ramppost.policy.rollout import Counts, errors_too_high, too_slow
+from ramppost.policy.rollout import OutcomeCounts, errors_too_high, too_slow
 
 MAX_ERROR_SHARE: Final = 0.25
 """Error share that the test takes for bad; bad versions fail a third or more."""
@@ -18,25 +18,25 @@
 LEAST_UPSTREAMS: Final = 2
 
 
-class Tally:
+class AnswerTally:
     """Answers of one version of a service, by upstream."""
 
     def __init__(self) -> None:
-        self.counts = Counts()
+        self.counts = OutcomeCounts()
         self.bad_upstreams: set[str] = set()
 
     def add(self, upstream: str, bad: bool, slow: bool) -> None:
         """Take in an answer."""
         ok, failed, late = self.counts
         if bad:
-            self.counts = Counts(ok, failed + 1, late)
+            self.counts = OutcomeCounts(ok, failed + 1, late)
         else:
-            self.counts = Counts(ok + 1, failed, late + slow)
+            self.counts = OutcomeCounts(ok + 1, failed, late + slow)
         if bad or slow:
             self.bad_upstreams.add(upstream)
 
 
-def reason_against(stable: Tally, trial: Tally, trial_upstreams: int) -> str:
+def withdrawal_reason(stable: AnswerTally, trial: AnswerTally, trial_upstreams: int) -> str:
     """Why the trial has to be withdrawn, empty while nothing speaks against it enough."""
     counts = trial.counts
     if len(trial.bad_upstreams) < min(LEAST_UPSTREAMS, max(1, trial_upstreams)):
--- a/ramppost/policy/intent.py
+++ b/ramppost/policy/intent.py
@@ -180,7 +180,7 @@
     model["versions"].append({"version": version, "state": state})  # type: ignore[typeddict-item]
 
 
-def advance(doc: ConfigDoc, model: str) -> ConfigDoc:
+def advance_rollout(doc: ConfigDoc, model: str) -> ConfigDoc:
     """The document with a model's roll-out one step on."""
     fresh = copy.deepcopy(doc)
     rollout = running_rollout(fresh, model)
@@ -189,7 +189,7 @@
     return fresh
 
 
-def finish(doc: ConfigDoc, model: str) -> ConfigDoc:
+def finish_rollout(doc: ConfigDoc, model: str) -> ConfigDoc:
     """The document with a model's trial version stable; the former one keeps its sessions."""
     fresh = copy.deepcopy(doc)
     rollout, found = running_rollout(fresh, model), model_named(fresh, model)
@@ -214,7 +214,7 @@
 SECRET_FIELDS: Final = ("secret", "token_hash", "token_hashes")
 
 
-def difference(old: Any, new: Any, path: str = "$") -> list[str]:
+def config_diff(old: Any, new: Any, path: str = "$") -> list[str]:
     """What differs, a line each, with secrets left out."""
     if old == new:
         return []
@@ -223,12 +223,12 @@
     if isinstance(old, dict) and isinstance(new, dict):
         lines = []
         for key in sorted({*old, *new}):
-            lines += difference(old.get(key), new.get(key), f"{path}.{key}")
+            lines += config_diff(old.get(key), new.get(key), f"{path}.{key}")
         return lines
     if isinstance(old, list) and isinstance(new, list) and len(old) == len(new):
         lines = []
         for index, (a, b) in enumerate(zip(old, new, strict=True)):
-            lines += difference(a, b, f"{path}[{index}]")
+            lines += config_diff(a, b, f"{path}[{index}]")
         return lines
     if isinstance(old, list) and isinstance(new, list):
         gone = [f"{path}: - {_short(a)}" for a in old if a not in new]
@@ -259,7 +259,7 @@
     return lines
 
 
-def effect_of(doc: ConfigDoc, intent: Intent, share_seen: float) -> str:
+def expected_effect(doc: ConfigDoc, intent: Intent, share_seen: float) -> str:
     """A sentence on the expected effect; `share_seen` is the model's share of requests here."""
     kind = intent["kind"]
     if kind == "rollout":
--- a/ramppost/policy/keepers.py
+++ b/ramppost/policy/keepers.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Mapping
 
-from ramppost.policy.routing import unit
+from ramppost.policy.routing import hash_fraction
 
 
 def keeper_of(engine: str, hall: str, halls: Mapping[str, str], silent: frozenset[str]) -> str:
@@ -26,4 +26,4 @@
     """
     there = [name for name in halls if name not in silent]
     near = [name for name in there if halls[name] == hall]
-    return min(near or there, key=lambda name: unit("keeper", engine, name), default="")
+    return min(near or there, key=lambda name: hash_fraction("keeper", engine, name), default="")
--- a/ramppost/policy/permissions.py
+++ b/ramppost/policy/permissions.py
@@ -36,13 +36,13 @@
     return hashlib.sha256(token.encode()).hexdigest()
 
 
-def workspace_of(doc: ConfigDoc, token: str) -> Workspace | None:
+def workspace_by_token(doc: ConfigDoc, token: str) -> Workspace | None:
     """The workspace that a bearer token names."""
     digest = token_hash(token)
     return next((ws for ws in doc["workspaces"] if digest in ws["token_hashes"]), None)
 
 
-def operator_of(doc: ConfigDoc, token: str) -> Operator | None:
+def operator_by_token(doc: ConfigDoc, token: str) -> Operator | None:
     """The operator that a bearer token names."""
     digest = token_hash(token)
     return next((op for op in doc["operators"] if digest == op["token_hash"]), None)
@@ -88,7 +88,7 @@
     return mv.model in ws["allow"] or mv.text in ws["allow"]
 
 
-def may_run(doc: ConfigDoc, workspace: str, mv: ModelVersion) -> str:
+def denial_reason(doc: ConfigDoc, workspace: str, mv: ModelVersion) -> str:
     """Why a workspace may not run a version now; empty where it may."""
     ws = workspace_named(doc, workspace)
     if ws is None or not allowed(ws, mv):
--- a/ramppost/policy/placement.py
+++ b/ramppost/policy/placement.py
@@ -22,7 +22,7 @@
 from collections.abc import Mapping
 from typing import Final, NamedTuple
 
-from ramppost.policy.routing import unit
+from ramppost.policy.routing import hash_fraction
 
 RUNNING_REQUEST_S: Final = 0.003
 """What a request that runs for others adds, seconds: it slows each step a little."""
@@ -181,7 +181,7 @@
 
 @functools.lru_cache(maxsize=HOME_CACHE_SIZE)
 def _hashed_home(ids: tuple[str, ...], model: str, part: str) -> str:
-    return min(ids, key=lambda id: unit("home", model, part, id), default="")
+    return min(ids, key=lambda id: hash_fraction("home", model, part, id), default="")
 
 
 def select_candidates(pool: EnginePool, hall: str, home: str, rng: random.Random) -> set[str]:
@@ -216,7 +216,7 @@
 def long_prompt_engines(ids: tuple[str, ...]) -> frozenset[str]:
     """The engines that long prompts share; none where there are too few."""
     count = len(ids) // ENGINES_PER_LONG_PROMPT_ENGINE
-    return frozenset(sorted(ids, key=lambda name: unit("long", name))[:count])
+    return frozenset(sorted(ids, key=lambda name: hash_fraction("long", name))[:count])
 
 
 class PlacementContext(NamedTuple):
--- a/ramppost/policy/policydoc.py
+++ b/ramppost/policy/policydoc.py
@@ -1,7 +1,7 @@
 """Policies of a deployment whose routes, keys and models are the platform's.
 
 Pure.  What operators wish is carried out by `ramppost.policy.intent` on a whole
-configuration document, as at an entry: `as_config` makes one of the policies and of what
+configuration document, as at an entry: `to_config` makes one of the policies and of what
 the platform tells, and `from_config` takes the policies out again.
 """
 
@@ -30,12 +30,12 @@
 """A cascade over a route's models whose threshold gives way while engines are short.  On calm
 days thresholds of 0.5 and 0.6 are worth the same and 0.4 loses 0.02; on days with trouble lower
 ones are worth more (one run of each day)."""
-READ_PRICE_PART: Final = 0.25
+INPUT_PRICE_RATIO: Final = 0.25
 """What a token read costs, as a part of one that is made (the platform's prices)."""
 ANY_VERSION: Final = "any"
 
 
-class Known(NamedTuple):
+class PlatformCatalog(NamedTuple):
     """What the platform tells: prices of a thousand tokens by model, and names of workspaces."""
 
     prices: dict[str, float]
@@ -47,7 +47,7 @@
     return PolicyDoc(plan_id="", changed_by="", policies=[], workspaces=[], operators=operators)
 
 
-def as_config(doc: PolicyDoc, revision: int, known: Known) -> ConfigDoc:
+def to_config(doc: PolicyDoc, revision: int, known: PlatformCatalog) -> ConfigDoc:
     """The whole configuration that the policies are a part of."""
     prices = known.prices
     by_price = sorted(prices, key=lambda name: prices[name])
@@ -98,10 +98,11 @@
     )
 
 
-def policy_of(config: ConfigDoc, workspace: str, who: str) -> Policy:
+def effective_policy(config: ConfigDoc, workspace: str, who: str) -> Policy:
     """The policy that a session or request of a workspace falls to.
 
-    >>> policy_of(as_config(empty_doc([]), 1, Known({}, [])), "kitchen", "s1")["name"]
+    >>> config = to_config(empty_doc([]), 1, PlatformCatalog({}, []))
+    >>> effective_policy(config, "kitchen", "s1")["name"]
     'default'
     """
     ws = workspace_named(config, workspace)
@@ -111,12 +112,12 @@
     return policy_named(config, name) or DEFAULT_POLICY
 
 
-def models_of(policy: Policy, route_models: tuple[str, ...]) -> tuple[str, ...]:
+def select_models(policy: Policy, route_models: tuple[str, ...]) -> tuple[str, ...]:
     """The models of a route that a policy asks, in the order that the policy names them.
 
     All of the route's where the policy names none that the route has.
 
-    >>> models_of(Policy(name="p", kind="fixed", models=["largest"]), ("s", "m", "l"))
+    >>> select_models(Policy(name="p", kind="fixed", models=["largest"]), ("s", "m", "l"))
     ('l',)
     """
     words = {SMALLEST: route_models[0], LARGEST: route_models[-1]}
--- a/ramppost/policy/ramp.py
+++ b/ramppost/policy/ramp.py
@@ -13,30 +13,30 @@
 
 from typing import Final, NamedTuple
 
-from ramppost.policy.routing import unit
+from ramppost.policy.routing import hash_fraction
 
 
-class Step(NamedTuple):
+class RampStep(NamedTuple):
     """From this part of the roll-out's time on, this share of sessions is on the version."""
 
-    begins: float
+    start: float
     share: float
 
 
-FIRST_SHARE: Final = 0.06
+INITIAL_SHARE: Final = 0.06
 """Keeps a version that is bad for half the time far below a seventh of all requests."""
-STEPS: Final = (
-    Step(0.0, 0.0),
-    Step(0.1, FIRST_SHARE),
-    Step(0.5, 0.25),
-    Step(0.6, 0.5),
-    Step(0.68, 1.0),
+RAMP_STEPS: Final = (
+    RampStep(0.0, 0.0),
+    RampStep(0.1, INITIAL_SHARE),
+    RampStep(0.5, 0.25),
+    RampStep(0.6, 0.5),
+    RampStep(0.68, 1.0),
 )
 """Nothing moves until gateways have told each other which sessions are under way.  The later
 steps are as short as a sequential test needs at some requests a second."""
-TELL_AT: Final = 0.06
+ANNOUNCE_AT: Final = 0.06
 """Part of the time at which a gateway tells the sessions that ran on the former version."""
-HALF: Final = 0.5
+UNPIN_AT: Final = 0.5
 COMPLETE_AT: Final = 0.92
 """Part of the time at which the former version is stopped: most answers have ended since
 the last step, and the deadline is still far enough for a write that has to be repeated."""
@@ -49,38 +49,38 @@
     >>> share_at(0.0), share_at(0.1), share_at(0.55), share_at(0.9)
     (0.0, 0.06, 0.25, 1.0)
     """
-    return [step.share for step in STEPS if step.begins <= max(0.0, part)][-1]
+    return [step.share for step in RAMP_STEPS if step.start <= max(0.0, part)][-1]
 
 
-class Pin(NamedTuple):
+class SessionPin(NamedTuple):
     """The version a session ran on last, and when (steady clock)."""
 
     version: str
     at: float
 
 
-class Pins:
+class SessionPins:
     """Where sessions ran lately, the latest ones only."""
 
     def __init__(self, session_s: float) -> None:
         self.session_s = session_s
-        self._pins: dict[tuple[str, str], Pin] = {}
+        self._pins: dict[tuple[str, str], SessionPin] = {}
 
-    def ran(self, service: str, session: str, version: str, now: float) -> None:
+    def record(self, service: str, session: str, version: str, now: float) -> None:
         """A request of a session was sent to a version."""
         if not session:
             return
         self._pins.pop((service, session), None)
-        self._pins[service, session] = Pin(version, now)
+        self._pins[service, session] = SessionPin(version, now)
         if len(self._pins) > MAX_PINS:
             del self._pins[next(iter(self._pins))]
 
-    def version(self, service: str, session: str, now: float) -> str:
+    def pinned_version(self, service: str, session: str, now: float) -> str:
         """The version that a session in progress ran on, empty where there is none."""
         pin = self._pins.get((service, session))
         return pin.version if pin is not None and now - pin.at <= self.session_s else ""
 
-    def under_way(self, service: str, version: str, now: float) -> list[str]:
+    def sessions_to_announce(self, service: str, version: str, now: float) -> list[str]:
         """Sessions in progress elsewhere that would be among the first on a version."""
         return [
             session
@@ -88,22 +88,22 @@
             if pinned_service == service
             and pin.version != version
             and now - pin.at <= self.session_s
-            and place_of(service, version, session) < FIRST_SHARE
+            and ramp_position(service, version, session) < INITIAL_SHARE
         ]
 
 
-def place_of(service: str, version: str, who: str) -> float:
+def ramp_position(service: str, version: str, who: str) -> float:
     """Where a session or request stands among all, 0 to 1: it moves when the share is above."""
-    return unit("ramp", service, version, who)
+    return hash_fraction("ramp", service, version, who)
 
 
-def on_new(service: str, version: str, who: str, part: float, pinned: str) -> bool:
+def uses_new_version(service: str, version: str, who: str, part: float, pinned: str) -> bool:
     """Whether a session (or a request without one) goes to the version being rolled out.
 
     `pinned` is the version its session ran on lately, empty where it is not known.
     """
     if pinned == version:
         return True
-    if pinned and part < HALF:
+    if pinned and part < UNPIN_AT:
         return False
-    return place_of(service, version, who) < share_at(part)
+    return ramp_position(service, version, who) < share_at(part)
--- a/ramppost/policy/relays.py
+++ b/ramppost/policy/relays.py
@@ -17,7 +17,7 @@
 from collections.abc import Mapping
 from typing import Final, NamedTuple
 
-from ramppost.policy.routing import unit
+from ramppost.policy.routing import hash_fraction
 
 MIN_RELAYS: Final = 1
 """Where it dies or is cut off, its followers notice within its usual silence and ask the store."""
@@ -64,7 +64,9 @@
     >>> rank_gateways(["a", "b", "c"], {"c": 1000.0, "b": 10.0})
     ['c', 'b', 'a']
     """
-    return sorted(names, key=lambda n: (-min(WIDE_LINK_MBPS, links.get(n, 0.0)), unit("relay", n)))
+    return sorted(
+        names, key=lambda n: (-min(WIDE_LINK_MBPS, links.get(n, 0.0)), hash_fraction("relay", n))
+    )
 
 
 def relay_count(gateways: int) -> int:
--- a/ramppost/policy/rollout.py
+++ b/ramppost/policy/rollout.py
@@ -13,7 +13,7 @@
 from typing import Final, Literal, NamedTuple
 
 from ramppost.policy.permissions import ModelVersion, running_rollout
-from ramppost.policy.routing import Mean
+from ramppost.policy.routing import RunningStats
 from ramppost.schema.config import ConfigDoc, Rollout
 
 FALSE_ALARM: Final = 0.001
@@ -28,7 +28,7 @@
 BOUND: Final = math.log((1 - MISSED) / FALSE_ALARM)
 
 
-class Counts(NamedTuple):
+class OutcomeCounts(NamedTuple):
     """Requests that ended well and badly; `slow` is how many of the good were slow."""
 
     ok: int = 0
@@ -36,68 +36,68 @@
     slow: int = 0
 
 
-class Counted(NamedTuple):
+class CountKey(NamedTuple):
     """What counts are of: a version, in the roll-out that a revision began, 0 for none."""
 
     mv: ModelVersion
     since: int
 
 
-def trial_of(rollout: Rollout) -> Counted:
+def trial_count_key(rollout: Rollout) -> CountKey:
     """What the runs of a roll-out's trial count for."""
     mv = ModelVersion(rollout["model"], rollout["trial"])
-    return Counted(mv, rollout.get("since_revision", 0))
+    return CountKey(mv, rollout.get("since_revision", 0))
 
 
-def counted_as(doc: ConfigDoc, mv: ModelVersion) -> Counted:
+def count_key_of(doc: ConfigDoc, mv: ModelVersion) -> CountKey:
     """What a run of a version counts for by a configuration."""
     rollout = running_rollout(doc, mv.model)
     if rollout is None or rollout["trial"] != mv.version:
-        return Counted(mv, 0)
-    return trial_of(rollout)
+        return CountKey(mv, 0)
+    return trial_count_key(rollout)
 
 
 class Ratings:
     """Ratings of a version by the revision in force when the request came in."""
 
     def __init__(self) -> None:
-        self.all = Mean()
-        self._by_revision: dict[int, Mean] = {}
+        self.all = RunningStats()
+        self._by_revision: dict[int, RunningStats] = {}
 
     def add(self, revision: int, score: float) -> None:
         """Take in one; of many revisions the oldest are forgotten."""
         self.all.add(score)
-        self._by_revision.setdefault(revision, Mean()).add(score)
+        self._by_revision.setdefault(revision, RunningStats()).add(score)
         if len(self._by_revision) > KEPT_REVISIONS:
             del self._by_revision[min(self._by_revision)]
 
-    def since(self, revision: int) -> Mean:
+    def since(self, revision: int) -> RunningStats:
         """Those of requests that came in at a revision or later."""
-        total = Mean()
+        total = RunningStats()
         for known, mean in self._by_revision.items():
             if known >= revision:
                 total.n += mean.n
                 total.total += mean.total
-                total.squares += mean.squares
+                total.sum_squares += mean.sum_squares
         return total
 
 
-def plus(a: Counts, b: Counts) -> Counts:
+def add_counts(a: OutcomeCounts, b: OutcomeCounts) -> OutcomeCounts:
     """Both together."""
-    return Counts(a.ok + b.ok, a.bad + b.bad, a.slow + b.slow)
+    return OutcomeCounts(a.ok + b.ok, a.bad + b.bad, a.slow + b.slow)
 
 
-def since(now: Counts, then: Counts) -> Counts:
+def counts_since(now: OutcomeCounts, then: OutcomeCounts) -> OutcomeCounts:
     """What came after `then`."""
-    return Counts(
+    return OutcomeCounts(
         max(0, now.ok - then.ok), max(0, now.bad - then.bad), max(0, now.slow - then.slow)
     )
 
 
-def part_of_cap(cap: int, entries: int, rank: int) -> int:
+def split_cap(cap: int, entries: int, rank: int) -> int:
     """An entry's part of a cap on requests, so that all parts add up to it; ranks count from 0.
 
-    >>> [part_of_cap(11, 3, rank) for rank in range(3)]
+    >>> [split_cap(11, 3, rank) for rank in range(3)]
     [4, 4, 3]
     """
     whole, rest = divmod(cap, entries)
@@ -124,23 +124,23 @@
     return ratio > BOUND
 
 
-def errors_too_high(stable: Counts, trial: Counts, max_share: float) -> bool:
+def errors_too_high(stable: OutcomeCounts, trial: OutcomeCounts, max_share: float) -> bool:
     """Whether the trial's errors speak for `max_share` rather than the stable share.
 
-    >>> errors_too_high(Counts(1000, 2), Counts(3, 4), 0.2)
+    >>> errors_too_high(OutcomeCounts(1000, 2), OutcomeCounts(3, 4), 0.2)
     True
     """
     usual = max(LEAST_ERROR_SHARE, _share(stable.bad, stable.ok))
     return _speaks_for(trial.bad, trial.ok, usual, max_share)
 
 
-def too_slow(stable: Counts, trial: Counts, max_share: float) -> bool:
+def too_slow(stable: OutcomeCounts, trial: OutcomeCounts, max_share: float) -> bool:
     """Whether the trial's slow answers speak for `max_share` rather than the stable share."""
     usual = max(LEAST_SLOW_SHARE, _share(stable.slow, stable.ok - stable.slow))
     return _speaks_for(trial.slow, trial.ok - trial.slow, usual, max_share)
 
 
-def ratings_too_low(stable: Mean, trial: Mean, max_drop: float) -> bool:
+def ratings_too_low(stable: RunningStats, trial: RunningStats, max_drop: float) -> bool:
     """Whether the trial's ratings speak for a mean lower by `max_drop`."""
     if stable.n < LEAST_STABLE_RATINGS or trial.n < 2 or max_drop <= 0:
         return False
@@ -149,12 +149,12 @@
     return max_drop / sd**2 * lost > BOUND
 
 
-def judge(
+def evaluate_rollout(
     rollout: Rollout,
-    stable: Counts,
-    trial: Counts,
-    stable_ratings: Mean,
-    trial_ratings: Mean,
+    stable: OutcomeCounts,
+    trial: OutcomeCounts,
+    stable_ratings: RunningStats,
+    trial_ratings: RunningStats,
     step_age_s: float,
     step_requests: int,
 ) -> Verdict:
--- a/ramppost/policy/session.py
+++ b/ramppost/policy/session.py
@@ -20,7 +20,7 @@
 T = TypeVar("T")
 
 
-class Session(TypedDict):
+class SessionPayload(TypedDict):
     """What a session token says."""
 
     kind: str
@@ -30,7 +30,7 @@
     version: str
 
 
-class StreamPlace(TypedDict):
+class StreamPayload(TypedDict):
     """What a stream's event id says: where the answer can be read on."""
 
     kind: str
@@ -48,16 +48,18 @@
     reason: str
 
 
-def mint(keys: list[SessionKey], payload: Session | StreamPlace) -> str:
+def mint_token(keys: list[SessionKey], payload: SessionPayload | StreamPayload) -> str:
     """A token for a payload, made with the first key."""
     key = keys[0]
     body = _b64(encode(payload))
     return f"{key['id']}.{body}.{_mac(key, body)}"
 
 
-def read_session(keys: list[SessionKey], token: str, workspace: str) -> Session | BadToken:
+def verify_session_token(
+    keys: list[SessionKey], token: str, workspace: str
+) -> SessionPayload | BadToken:
     """The session of a token, if it is authentic and of this workspace."""
-    found = _read(keys, token, Session)
+    found = _read(keys, token, SessionPayload)
     if isinstance(found, BadToken):
         return found
     if found["kind"] != "session" or found["workspace"] != workspace:
@@ -65,9 +67,11 @@
     return found
 
 
-def read_place(keys: list[SessionKey], token: str, workspace: str) -> StreamPlace | BadToken:
+def verify_stream_token(
+    keys: list[SessionKey], token: str, workspace: str
+) -> StreamPayload | BadToken:
     """The place in a stream of a token, if it is authentic and of this workspace."""
-    found = _read(keys, token, StreamPlace)
+    found = _read(keys, token, StreamPayload)
     if isinstance(found, BadToken):
         return found
     if found["kind"] != "stream" or found["workspace"] != workspace:
--- a/ramppost/policy/warmup.py
+++ b/ramppost/policy/warmup.py
@@ -14,7 +14,7 @@
 from collections.abc import Collection
 from typing import Final
 
-from ramppost.policy.routing import unit
+from ramppost.policy.routing import hash_fraction
 
 WINDOW_S: Final = 1.1
 """Longer than a second, because requests sent a second apart may arrive closer together."""
@@ -34,7 +34,7 @@
     whole, remainder = divmod(max(1, int(limit_per_s)), len(gateways))
     if remainder == 0:
         return whole
-    ranked = sorted(gateways, key=lambda name: unit("warm-up", upstream, name))
+    ranked = sorted(gateways, key=lambda name: hash_fraction("warm-up", upstream, name))
     return whole + (ranked.index(gateway) < remainder)
 
 
--- a/tests/harness/ablated.py
+++ b/tests/harness/ablated.py
@@ -121,7 +121,7 @@
 def no_sessions() -> None:
     """A session token does not hold its version."""
     route._held = lambda ask, doc: route.Route(  # type: ignore[assignment]
-        [route.Picked(ask.wanted if ask.wanted.version else _newest(doc), False)], None
+        [route.PickedVersion(ask.wanted if ask.wanted.version else _newest(doc), False)], None
     )
 
 
--- a/tests/harness/oracle.py
+++ b/tests/harness/oracle.py
@@ -9,7 +9,7 @@
 import httpx
 
 from ramppost import clock
-from ramppost.policy.bills import bill_of
+from ramppost.policy.bills import billable_lines
 from tests.harness.cluster import Cluster
 
 SETTLE_S = 15.0
@@ -90,7 +90,7 @@
 
 def charged(bills: dict[str, dict[str, Any]], request_id: str) -> int:
     """How many lines of a request's bill count."""
-    return len(bill_of(bills.get(request_id, {}).values()))
+    return len(billable_lines(bills.get(request_id, {}).values()))
 
 
 def wait_bills(cluster: Cluster, request_ids: set[str]) -> dict[str, dict[str, Any]]:
--- a/tests/test_choice_size.py
+++ b/tests/test_choice_size.py
@@ -28,18 +28,18 @@
 def counted(engines: int, monkeypatch: pytest.MonkeyPatch) -> Counter[str]:
     """Looks at backlogs, and hashes, that the second hundred of requests cost."""
     gw, rng, seen = fleet(engines, 20), random.Random(2), Counter[str]()
-    known, unit = gw.backlogs.known, placement.unit
+    known, hash_fraction = gw.backlogs.known, placement.hash_fraction
 
     def note_known(*args: Any) -> Any:
         seen["known"] += 1
         return known(*args)
 
-    def note_unit(*parts: str) -> float:
+    def note_hash_fraction(*parts: str) -> float:
         seen["unit"] += 1
-        return unit(*parts)
+        return hash_fraction(*parts)
 
     monkeypatch.setattr(gw.backlogs, "known", note_known)
-    monkeypatch.setattr(placement, "unit", note_unit)
+    monkeypatch.setattr(placement, "hash_fraction", note_hash_fraction)
     for number in range(200):
         if number == 100:
             seen.clear()
--- a/tests/test_claimlog.py
+++ b/tests/test_claimlog.py
@@ -11,7 +11,7 @@
 
 from ramppost.entry.claimlog import RETENTION_S, ClaimLog, Granted, Taken
 from ramppost.platform.objects import Client
-from ramppost.policy.claims import FULL_RECORDS, SHARDS, Shard, claim_key, shard_of
+from ramppost.policy.claims import MAX_HEAD_RECORDS, SHARDS, Shard, claim_key, shard_of
 from ramppost.schema.messages import Claim, ClaimSegment
 from ramppost.standin import platform
 from ramppost.standin.fleet import MESOB, build
@@ -57,8 +57,8 @@
 @pytest.mark.parametrize(("name", "fresh", "stands"), CASES, ids=[c[0] for c in CASES])
 def test_what_a_held_claim_stands_against(name: str, fresh: Claim, stands: bool) -> None:
     shard = Shard()
-    shard.take_head(ClaimSegment(seq=0, nonces=["n"], claims=[HELD], ends=[]), 1)
-    assert (shard.holder(fresh) is not None) == stands
+    shard.update_head(ClaimSegment(seq=0, nonces=["n"], claims=[HELD], ends=[]), 1)
+    assert (shard.conflicting_claim(fresh) is not None) == stands
 
 
 async def started(seed: Path, port: int) -> curio.Task:
@@ -126,7 +126,7 @@
     """One entry has read a shard and sleeps while another fills and expires segments."""
     task = await started(seed, port)
     old, busy = claim_log(port), claim_log(port, retention_s=0.0)
-    first, *others, last = keys_of_shard(3, FULL_RECORDS * 3)
+    first, *others, last = keys_of_shard(3, MAX_HEAD_RECORDS * 3)
     assert isinstance(await old.claim(claim(first, "first")), Granted)
     for start in range(0, len(others), 100):
         async with curio.TaskGroup() as group:
@@ -150,7 +150,7 @@
     """Claims whose writer's clock is decades behind are not old for that."""
     task = await started(seed, port)
     writer, other = claim_log(port), claim_log(port)
-    names = keys_of_shard(3, FULL_RECORDS + 10)
+    names = keys_of_shard(3, MAX_HEAD_RECORDS + 10)
     for name in names:
         await writer.claim(claim(name, "first"))
     assert await writer.read(3) and await writer.expire(3) == 0
--- a/tests/test_gateway_policy.py
+++ b/tests/test_gateway_policy.py
@@ -11,9 +11,16 @@
 from ramppost.gateway.membership import LAPSE_GRACE_S, Members
 from ramppost.gateway.model import RolloutOrder, Upstream
 from ramppost.gateway.rollouts import Rollouts
-from ramppost.policy.guard import Tally, reason_against
+from ramppost.policy.guard import AnswerTally, withdrawal_reason
 from ramppost.policy.limits import RetryBudget, WindowBudget
-from ramppost.policy.ramp import FIRST_SHARE, STEPS, Pins, on_new, place_of, share_at
+from ramppost.policy.ramp import (
+    INITIAL_SHARE,
+    RAMP_STEPS,
+    SessionPins,
+    ramp_position,
+    share_at,
+    uses_new_version,
+)
 from ramppost.policy.suspicion import Suspicion
 
 NOW = 1000.0
@@ -133,12 +140,12 @@
 
 def test_nothing_grows_in_the_first_half() -> None:
     assert share_at(0.0) == 0.0
-    assert share_at(STEPS[1].begins) == share_at(0.49) == FIRST_SHARE
+    assert share_at(RAMP_STEPS[1].start) == share_at(0.49) == INITIAL_SHARE
 
 
 def test_sessions_only_move_forward() -> None:
     for who in (f"s{i}" for i in range(300)):
-        sides = [on_new("lm", "v2", who, i / 100, "") for i in range(100)]
+        sides = [uses_new_version("lm", "v2", who, i / 100, "") for i in range(100)]
         assert sides == sorted(sides)
 
 
@@ -149,35 +156,35 @@
 def test_a_session_in_progress_stays_in_the_first_half(
     part: float, pinned: str, moves: bool
 ) -> None:
-    sides = [on_new("lm", "v2", f"s{i}", part, pinned) for i in range(500)]
+    sides = [uses_new_version("lm", "v2", f"s{i}", part, pinned) for i in range(500)]
     assert any(sides) == moves
 
 
 def test_pins_last_as_long_as_a_session() -> None:
-    pins = Pins(5.0)
-    pins.ran("lm", "s", "v1", NOW)
-    assert pins.version("lm", "s", NOW + 4) == "v1"
-    assert pins.version("lm", "s", NOW + 6) == ""
+    pins = SessionPins(5.0)
+    pins.record("lm", "s", "v1", NOW)
+    assert pins.pinned_version("lm", "s", NOW + 4) == "v1"
+    assert pins.pinned_version("lm", "s", NOW + 6) == ""
 
 
 def test_sessions_that_would_be_among_the_first_are_told() -> None:
-    pins = Pins(5.0)
+    pins = SessionPins(5.0)
     names = [f"s{i}" for i in range(400)]
     for name in names:
-        pins.ran("lm", name, "v1", NOW)
-    pins.ran("other", "s-other", "v1", NOW)
-    told = pins.under_way("lm", "v2", NOW + 1)
-    assert told == [name for name in names if place_of("lm", "v2", name) < FIRST_SHARE]
+        pins.record("lm", name, "v1", NOW)
+    pins.record("other", "s-other", "v1", NOW)
+    told = pins.sessions_to_announce("lm", "v2", NOW + 1)
+    assert told == [name for name in names if ramp_position("lm", "v2", name) < INITIAL_SHARE]
     assert 0 < len(told) < 60
-    assert pins.under_way("lm", "v2", NOW + 6) == []
+    assert pins.sessions_to_announce("lm", "v2", NOW + 6) == []
 
 
 # --- guard
 
 
-def tally(answers: str, upstreams: str = "ab") -> Tally:
+def tally(answers: str, upstreams: str = "ab") -> AnswerTally:
     """`.` good, `x` failed, `s` slow; upstreams take turns."""
-    found = Tally()
+    found = AnswerTally()
     for i, answer in enumerate(answers):
         found.add(upstreams[i % len(upstreams)], answer == "x", answer == "s")
     return found
@@ -198,12 +205,12 @@
     ],
 )
 def test_when_a_version_is_bad(stable: str, trial: str, upstreams: int, bad: bool) -> None:
-    assert bool(reason_against(tally(stable), tally(trial), upstreams)) == bad
+    assert bool(withdrawal_reason(tally(stable), tally(trial), upstreams)) == bad
 
 
 def test_one_faulty_upstream_does_not_condemn_a_version() -> None:
-    assert reason_against(tally("." * 200), tally("xxxxxx", "a"), 9) == ""
-    assert reason_against(tally("." * 200), tally("xxxxxx", "a"), 1) != ""
+    assert withdrawal_reason(tally("." * 200), tally("xxxxxx", "a"), 9) == ""
+    assert withdrawal_reason(tally("." * 200), tally("xxxxxx", "a"), 1) != ""
 
 
 # --- roll-outs seen by a gateway
@@ -219,7 +226,7 @@
 
 
 def test_a_session_under_way_elsewhere_stays_in_the_first_half() -> None:
-    first = [f"s{i}" for i in range(400) if place_of("lm", "v2", f"s{i}") < FIRST_SHARE]
+    first = [f"s{i}" for i in range(400) if ramp_position("lm", "v2", f"s{i}") < INITIAL_SHARE]
     fresh = rollouts(at=0.3)
     assert all(fresh.side("lm", BOTH, "r", s, NOW).preferred[0].id == "new" for s in first)
     held = rollouts(at=0.3)
@@ -254,7 +261,7 @@
 
 
 def test_the_new_version_is_no_way_out_in_the_first_half() -> None:
-    old_only = [f"r{i}" for i in range(100) if not on_new("lm", "v2", f"r{i}", 0.2, "")]
+    old_only = [f"r{i}" for i in range(100) if not uses_new_version("lm", "v2", f"r{i}", 0.2, "")]
     for who in old_only:
         assert rollouts().side("lm", BOTH, who, "", NOW).others == []
 
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -16,11 +16,11 @@
 )
 from ramppost.policy.policydoc import (
     DEFAULT_POLICY,
-    Known,
-    as_config,
+    PlatformCatalog,
+    effective_policy,
     empty_doc,
-    models_of,
-    policy_of,
+    select_models,
+    to_config,
 )
 from ramppost.policy.pressure import TYPICAL_READ_S, Pressure
 from ramppost.schema.config import Policy, PolicyShare, WorkspacePolicies
@@ -104,7 +104,7 @@
 def test_the_models_that_a_policy_names(
     kind: Any, named: list[str], models: tuple[str, ...]
 ) -> None:
-    assert models_of(Policy(name="p", kind=kind, models=named), ("s", "m", "l")) == models
+    assert select_models(Policy(name="p", kind=kind, models=named), ("s", "m", "l")) == models
 
 
 def test_a_workspace_shares_its_sessions_among_its_policies() -> None:
@@ -112,10 +112,12 @@
     doc["policies"] = [Policy(name="best", kind="fixed", models=["largest"])]
     shares = [PolicyShare(policy="best", share=0.25), PolicyShare(policy="default", share=0.75)]
     doc["workspaces"] = [WorkspacePolicies(name="kitchen", policies=shares)]
-    known = as_config(doc, 3, Known({"s": 0.1, "l": 1.0}, ["kitchen", "toll"]))
-    chosen = [policy_of(known, "kitchen", f"session-{i}")["name"] for i in range(4000)]
+    known = to_config(doc, 3, PlatformCatalog({"s": 0.1, "l": 1.0}, ["kitchen", "toll"]))
+    chosen = [effective_policy(known, "kitchen", f"session-{i}")["name"] for i in range(4000)]
     assert 0.22 < chosen.count("best") / len(chosen) < 0.28
-    assert {policy_of(known, "toll", f"session-{i}")["name"] for i in range(50)} == {"default"}
+    assert {effective_policy(known, "toll", f"session-{i}")["name"] for i in range(50)} == {
+        "default"
+    }
 
 
 @pytest.mark.parametrize(
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -6,56 +6,56 @@
 
 import pytest
 
-from ramppost.policy.admission import Admission, Entered, Full, Queued, Waiting
-from ramppost.policy.bills import attempt_id, bill_of
-from ramppost.policy.burn import budget_left, burn
+from ramppost.policy.admission import Admission, Admitted, Queued, QueuedRequest, Rejected
+from ramppost.policy.bills import attempt_id, billable_lines
+from ramppost.policy.burn import budget_left, burn_rate
 from ramppost.policy.choice import AgentView, Ejection, choose_subset, rank_agents
 from ramppost.policy.limits import RetryBudget, TokenBucket
 from ramppost.policy.pace import Timing, TimingBaseline
 from ramppost.policy.permissions import ModelVersion
 from ramppost.policy.rollout import (
-    Counts,
+    OutcomeCounts,
     errors_too_high,
-    judge,
-    part_of_cap,
+    evaluate_rollout,
     ratings_too_low,
+    split_cap,
     too_slow,
 )
-from ramppost.policy.routing import Mean, pick_version, policy_for
+from ramppost.policy.routing import RunningStats, pick_version, policy_for
 from ramppost.schema.config import Rollout
 from ramppost.schema.messages import BillLine
 from ramppost.schema.settings import Box
 from ramppost.standin.fleet import MESOB, config_doc
 from ramppost.wire.client import Pool, readable
 
-STABLE = Counts(1000, 5)
+STABLE = OutcomeCounts(1000, 5)
 ERROR_CASES = [
-    ("none yet", Counts(0, 0), False),
-    ("one bad", Counts(0, 1), False),
-    ("three bad of three", Counts(0, 3), True),
-    ("half of ten", Counts(5, 5), True),
-    ("as the stable one", Counts(995, 5), False),
-    ("twice the stable one's", Counts(990, 10), False),
+    ("none yet", OutcomeCounts(0, 0), False),
+    ("one bad", OutcomeCounts(0, 1), False),
+    ("three bad of three", OutcomeCounts(0, 3), True),
+    ("half of ten", OutcomeCounts(5, 5), True),
+    ("as the stable one", OutcomeCounts(995, 5), False),
+    ("twice the stable one's", OutcomeCounts(990, 10), False),
 ]
 
 
 @pytest.mark.parametrize(("name", "trial", "bad"), ERROR_CASES, ids=[c[0] for c in ERROR_CASES])
-def test_the_guard_on_errors(name: str, trial: Counts, bad: bool) -> None:
+def test_the_guard_on_errors(name: str, trial: OutcomeCounts, bad: bool) -> None:
     assert errors_too_high(STABLE, trial, 0.2) == bad
 
 
 SLOW_CASES = [
-    ("none", Counts(50, 0, 0), False),
-    ("one of two", Counts(2, 0, 1), False),
-    ("a burst of four", Counts(6, 0, 4), False),
-    ("nearly all", Counts(12, 0, 11), True),
-    ("as the stable one", Counts(300, 0, 15), False),
+    ("none", OutcomeCounts(50, 0, 0), False),
+    ("one of two", OutcomeCounts(2, 0, 1), False),
+    ("a burst of four", OutcomeCounts(6, 0, 4), False),
+    ("nearly all", OutcomeCounts(12, 0, 11), True),
+    ("as the stable one", OutcomeCounts(300, 0, 15), False),
 ]
 
 
 @pytest.mark.parametrize(("name", "trial", "bad"), SLOW_CASES, ids=[c[0] for c in SLOW_CASES])
-def test_the_guard_on_slow_answers(name: str, trial: Counts, bad: bool) -> None:
-    assert too_slow(Counts(1000, 0, 50), trial, 0.5) == bad
+def test_the_guard_on_slow_answers(name: str, trial: OutcomeCounts, bad: bool) -> None:
+    assert too_slow(OutcomeCounts(1000, 0, 50), trial, 0.5) == bad
 
 
 def test_what_is_slow_follows_the_stable_version() -> None:
@@ -72,11 +72,11 @@
 
 @pytest.mark.parametrize(("cap", "entries"), [(11, 2), (100, 410), (1, 3), (820, 410)])
 def test_parts_of_a_cap_add_up_to_it(cap: int, entries: int) -> None:
-    assert sum(part_of_cap(cap, entries, rank) for rank in range(entries)) == cap
+    assert sum(split_cap(cap, entries, rank) for rank in range(entries)) == cap
 
 
-def mean_of(value: float, n: int) -> Mean:
-    found = Mean()
+def mean_of(value: float, n: int) -> RunningStats:
+    found = RunningStats()
     for number in range(n):
         found.add(value + (0.1 if number % 2 else -0.1))
     return found
@@ -103,53 +103,55 @@
         model="m", stable="a", trial="b", steps=[0.1, 1.0], step=0, step_s=10, state="running",
         max_error_share=0.2, max_rating_drop=0.1, min_requests=20,
     )  # fmt: skip
-    good = Counts(100, 0)
+    good = OutcomeCounts(100, 0)
     ask = [(5.0, 50, 0), (11.0, 5, 0), (11.0, 50, 0), (11.0, 50, 1)]
     actions = []
     for age, requests, step in ask:
         rollout["step"] = step
-        verdict = judge(rollout, STABLE, good, Mean(), Mean(), age, requests)
+        verdict = evaluate_rollout(
+            rollout, STABLE, good, RunningStats(), RunningStats(), age, requests
+        )
         actions.append(verdict.action)
     assert actions == ["wait", "wait", "advance", "finish"]
 
 
 def test_urgent_work_goes_first_and_the_rest_is_not_starved() -> None:
     adm = Admission(1, 100)
-    assert adm.offer(Waiting("a", 5, 1e9), 0) == Entered()
+    assert adm.request_slot(QueuedRequest("a", 5, 1e9), 0) == Admitted()
     for number in range(40):
-        adm.offer(Waiting(f"urgent-{number}", 0, 1e9), 0)
-    adm.offer(Waiting("batch", 8, 1e9), 0)
-    left = [adm.leave(0.0) for _ in range(25)]
+        adm.request_slot(QueuedRequest(f"urgent-{number}", 0, 1e9), 0)
+    adm.request_slot(QueuedRequest("batch", 8, 1e9), 0)
+    left = [adm.release_slot(0.0) for _ in range(25)]
     names = [who.name for who in left if who]
     assert names[0] == "urgent-0" and "batch" in names[15:21]
 
 
 def test_slots_are_kept_for_the_urgent() -> None:
     adm = Admission(4, 100, reserved=1)
-    routine = [adm.offer(Waiting(f"r{i}", 5, 1e9), 0) for i in range(4)]
-    assert routine == [Entered(), Entered(), Entered(), Queued(None)]
-    assert adm.offer(Waiting("u", 0, 1e9), 0) == Entered()
-    assert adm.leave(None) is None
-    assert adm.leave(1.0) == Waiting("r3", 5, 1e9)
+    routine = [adm.request_slot(QueuedRequest(f"r{i}", 5, 1e9), 0) for i in range(4)]
+    assert routine == [Admitted(), Admitted(), Admitted(), Queued(None)]
+    assert adm.request_slot(QueuedRequest("u", 0, 1e9), 0) == Admitted()
+    assert adm.release_slot(None) is None
+    assert adm.release_slot(1.0) == QueuedRequest("r3", 5, 1e9)
 
 
 def test_a_full_line_puts_out_the_lowest_and_refuses_with_when_to_come_back() -> None:
     adm = Admission(1, 1)
-    adm.offer(Waiting("a", 5, 1e9), 0)
-    assert adm.offer(Waiting("b", 8, 1e9), 0) == Queued(None)
-    assert adm.offer(Waiting("c", 0, 1e9), 0) == Queued("b")
-    got = adm.offer(Waiting("d", 8, 1e9), 0)
-    assert isinstance(got, Full) and got.retry_after_s > 0
+    adm.request_slot(QueuedRequest("a", 5, 1e9), 0)
+    assert adm.request_slot(QueuedRequest("b", 8, 1e9), 0) == Queued(None)
+    assert adm.request_slot(QueuedRequest("c", 0, 1e9), 0) == Queued("b")
+    got = adm.request_slot(QueuedRequest("d", 8, 1e9), 0)
+    assert isinstance(got, Rejected) and got.retry_after_s > 0
 
 
 def test_what_can_not_be_begun_in_time_is_refused_at_once() -> None:
     adm = Admission(1, 100)
-    adm.offer(Waiting("a", 5, 1e9), 0)
-    adm.leave(2.0)
-    adm.offer(Waiting("b", 5, 1e9), 0)
-    adm.offer(Waiting("c", 5, 1e9), 0)
-    assert isinstance(adm.offer(Waiting("d", 5, 2.0), 0), Full)
-    assert adm.offer(Waiting("e", 5, 60.0), 0) == Queued(None)
+    adm.request_slot(QueuedRequest("a", 5, 1e9), 0)
+    adm.release_slot(2.0)
+    adm.request_slot(QueuedRequest("b", 5, 1e9), 0)
+    adm.request_slot(QueuedRequest("c", 5, 1e9), 0)
+    assert isinstance(adm.request_slot(QueuedRequest("d", 5, 2.0), 0), Rejected)
+    assert adm.request_slot(QueuedRequest("e", 5, 60.0), 0) == Queued(None)
 
 
 def seen(addr: str, own: int = 0, reported: int = 0, hall: str = "bole") -> AgentView:
@@ -240,12 +242,12 @@
 def test_a_bill_has_the_last_turn_of_each_stage() -> None:
     given = [("r", 0, 0), ("r", 0, 1), ("r", 1, 0), ("r", 0, 10)]
     lines = [line(attempt_id(*place)) for place in given]
-    assert [x["attempt"] for x in bill_of(lines)] == ["r.s0t10", "r.s1t0"]
-    assert bill_of(reversed(lines)) == bill_of(lines)
+    assert [x["attempt"] for x in billable_lines(lines)] == ["r.s0t10", "r.s1t0"]
+    assert billable_lines(reversed(lines)) == billable_lines(lines)
 
 
 def test_burn() -> None:
-    assert burn(0.02, 0.99) == 2.0
+    assert burn_rate(0.02, 0.99) == 2.0
     assert budget_left(995, 5, 0.99) == pytest.approx(0.5)
 
 
