--- a/bench/choosing.py
+++ b/bench/choosing.py
@@ -17,7 +17,7 @@
 from ramppost.gateway.admit import Admitted
 from ramppost.gateway.job import Job
 from ramppost.gateway.model import Prompt, Route, Upstream
-from ramppost.gateway.pick import asked_about, pick
+from ramppost.gateway.pick import engines_to_query, pick
 from ramppost.gateway.state import Gateway
 from ramppost.gateway.watchers import apply_config
 from ramppost.platform import names
@@ -69,7 +69,7 @@
         began = time.process_time()
         for job in jobs:
             now = clock.now()
-            for engine in asked_about(gw, job, "lm", MODEL, now):
+            for engine in engines_to_query(gw, job, "lm", MODEL, now):
                 gw.backlogs.keeper(engine, now)
             pick(gw, job, "lm", MODEL, now)
         best = min(best, time.process_time() - began)
--- a/ramppost/gateway/admit.py
+++ b/ramppost/gateway/admit.py
@@ -43,7 +43,7 @@
     if workspace is None and not route.anonymous:
         return _final(fresh, "unauthorized", "unknown key" if req.key else "no key")
     if workspace is not None and not gw.freshness.may_start(now):
-        return stale()
+        return stale_refusal()
     return Admitted(route, workspace)
 
 
@@ -67,9 +67,9 @@
 
 
 def _final(fresh: bool, code: str, message: str) -> Refusal:
-    return refusal(code, message) if fresh else stale()
+    return refusal(code, message) if fresh else stale_refusal()
 
 
-def stale() -> Refusal:
+def stale_refusal() -> Refusal:
     """The refusal of a request with a key that may have been taken away meanwhile."""
     return refusal("not_ready", "the configuration may not be the newest", STALE_RETRY_S)
--- a/ramppost/gateway/aftermath.py
+++ b/ramppost/gateway/aftermath.py
@@ -13,7 +13,7 @@
 
 from ramppost import clock
 from ramppost.gateway.attempt import Running
-from ramppost.gateway.endings import Fate
+from ramppost.gateway.endings import ProbeResult
 from ramppost.gateway.job import Job
 from ramppost.gateway.links import Broken
 from ramppost.gateway.model import Upstream
@@ -24,10 +24,12 @@
 """A process that ends closes its connections one by one, and may take a new one meanwhile."""
 
 
-async def after_cut(gw: Gateway, job: Job, upstream: Upstream, got: Broken, sign: int) -> None:
+async def handle_broken_response(
+    gw: Gateway, job: Job, upstream: Upstream, got: Broken, sign: int
+) -> None:
     """An answer has broken off; `sign` tells how much speaks against its request, should the
     upstream have ended."""
-    if not got.cut:
+    if not got.by_peer:
         return
     if not await _is_there(gw, job, upstream, sign):
         return
@@ -38,7 +40,7 @@
         await curio.spawn(_look_again, gw, job, upstream, sign, daemon=True)
 
 
-async def after_close(gw: Gateway, job: Job, running: Running, sign: int) -> None:
+async def handle_unframed_end(gw: Gateway, job: Job, running: Running, sign: int) -> None:
     """An answer that only the close of its connection ended was passed on.  It clears its request
     where its upstream is still there, for an end would have closed the connection, too."""
     if await _look_again(gw, job, running.chosen.upstream, sign):
@@ -52,13 +54,15 @@
 
 async def _is_there(gw: Gateway, job: Job, upstream: Upstream, sign: int) -> bool:
     """Whether an upstream still takes connections; what its end means is noted."""
-    fate = await gw.endings.fate_of(upstream)
+    fate = await gw.endings.probe(upstream)
     if fate != "alive":
         await _note_end(gw, job, upstream, fate, sign)
     return fate == "alive"
 
 
-async def _note_end(gw: Gateway, job: Job, upstream: Upstream, fate: Fate, sign: int) -> None:
+async def _note_end(
+    gw: Gateway, job: Job, upstream: Upstream, fate: ProbeResult, sign: int
+) -> None:
     logger.info(
         "upstream ended under a request",
         request=job.req.attempt_id,
@@ -67,7 +71,7 @@
         fate=fate,
         sign=sign,
     )
-    job.ended += 1
+    job.upstream_ends += 1
     if fate == "ended":
         # One that is silent may be back at any moment: only its way may be cut.
         gw.members.ended(upstream.key, clock.now())
--- a/ramppost/gateway/attempt.py
+++ b/ramppost/gateway/attempt.py
@@ -16,7 +16,7 @@
 from ramppost.gateway.job import Job
 from ramppost.gateway.links import Broken, Exchange, NotSent, OutgoingRequest, open_exchange
 from ramppost.gateway.load import OwnWork
-from ramppost.gateway.pick import Chosen, level
+from ramppost.gateway.pick import Selection, level
 from ramppost.gateway.state import Gateway
 from ramppost.platform.headers import AnswerHead, Send, upstream_head
 from ramppost.policy.backlog import PendingPrompt
@@ -47,7 +47,7 @@
 class Running(NamedTuple):
     """An attempt that is being answered."""
 
-    chosen: Chosen
+    chosen: Selection
     model: str
     exchange: Exchange
     head: AnswerHead
@@ -57,11 +57,11 @@
 
 
 async def attempt(
-    gw: Gateway, job: Job, chosen: Chosen, model: str
+    gw: Gateway, job: Job, chosen: Selection, model: str
 ) -> Running | Refused | NotSent | Broken:
     """Send the request; the outcome is logged and counted."""
     upstream = chosen.upstream
-    job.tried.add(upstream.key)
+    job.tried_upstreams.add(upstream.key)
     now = clock.now()
     work = gw.loads.own(upstream.key)
     work.requests += 1
@@ -80,7 +80,7 @@
             gw.backlogs.over(upstream, key, isinstance(got, Running))
         if not isinstance(got, Running):
             work.requests -= 1
-        _note(gw, job, chosen, model, got, clock.now() - now)
+        _record_outcome(gw, job, chosen, model, got, clock.now() - now)
     return got
 
 
@@ -93,7 +93,9 @@
         await running.exchange.abort()
 
 
-def _reading(gw: Gateway, job: Job, chosen: Chosen, model: str, now: float) -> PendingPrompt | None:
+def _reading(
+    gw: Gateway, job: Job, chosen: Selection, model: str, now: float
+) -> PendingPrompt | None:
     """What other gateways are told of a prompt that is sent; None where there is none."""
     prompt = job.req.prompt
     if chosen.service.engine is None or prompt is None:
@@ -103,12 +105,17 @@
 
 
 async def _send_and_wait(
-    gw: Gateway, job: Job, chosen: Chosen, model: str, work: OwnWork, reading: PendingPrompt | None
+    gw: Gateway,
+    job: Job,
+    chosen: Selection,
+    model: str,
+    work: OwnWork,
+    reading: PendingPrompt | None,
 ) -> Running | Refused | NotSent | Broken:
     urgency = reading.level if reading is not None else None
 
     def compose() -> OutgoingRequest | NotSent:
-        return _outgoing(gw, job, chosen, model, urgency)
+        return _compose_request(gw, job, chosen, model, urgency)
 
     sent_at = clock.now()
     opened = await open_exchange(gw.links, chosen.upstream, compose)
@@ -140,8 +147,8 @@
             await opened.abort()
 
 
-def _outgoing(
-    gw: Gateway, job: Job, chosen: Chosen, model: str, urgency: int | None
+def _compose_request(
+    gw: Gateway, job: Job, chosen: Selection, model: str, urgency: int | None
 ) -> OutgoingRequest | NotSent:
     """What is sent, with the time that is left now: a box may have been suspended, or a process
     frozen, while the connection was made."""
@@ -169,27 +176,27 @@
 
 
 async def _head_in_time(
-    gw: Gateway, job: Job, chosen: Chosen, exchange: Exchange
+    gw: Gateway, job: Job, chosen: Selection, exchange: Exchange
 ) -> AnswerHead | Broken:
     """The head; Broken for an upstream that stays silent where another may be asked."""
-    if job.route.repeat == "never" or job.tries >= job.route.attempts:
-        return await exchange.head()
+    if job.route.repeat == "never" or job.counted_attempts >= job.route.attempts:
+        return await exchange.read_head()
     part_s = PATIENCE_OF_OBJECTIVE * job.route.objective_s
     patience_s = max(LEAST_PATIENCE_S, part_s) + PATIENCE_OF_PREDICTED * chosen.first_s
     since = exchange.sent_at
     while True:
         try:
-            got: AnswerHead | Broken = await curio.timeout_after(patience_s, exchange.head())
+            got: AnswerHead | Broken = await curio.timeout_after(patience_s, exchange.read_head())
             return got
         except curio.TaskTimeout:
-            heard_at = gw.links.heard.get(chosen.upstream.key, float("-inf"))
+            heard_at = gw.links.last_received_at.get(chosen.upstream.key, float("-inf"))
             affordable = gw.retry_budget_of(chosen.service.name).available(clock.now()) >= 1
             if heard_at < since and affordable and chosen.candidates > 1:
                 return Broken(f"silent for {patience_s:.2f} s")
             since = clock.now()
 
 
-def _learn_engine(gw: Gateway, chosen: Chosen, model: str, first_s: float) -> None:
+def _learn_engine(gw: Gateway, chosen: Selection, model: str, first_s: float) -> None:
     """Remember how fast a model read, and how long its prompt waited."""
     now = clock.now()
     read = chosen.prefill_s / gw.prefill_rates.rate_s(model)
@@ -198,10 +205,10 @@
     gw.prefill_rates.observe(model, read, max(0.0, first_s - queued_s))
 
 
-def _note(
+def _record_outcome(
     gw: Gateway,
     job: Job,
-    chosen: Chosen,
+    chosen: Selection,
     model: str,
     got: Running | Refused | NotSent | Broken,
     took_s: float,
--- a/ramppost/gateway/endings.py
+++ b/ramppost/gateway/endings.py
@@ -13,16 +13,16 @@
 from loguru import logger
 
 from ramppost import clock
-from ramppost.gateway.links import Links
+from ramppost.gateway.links import ConnectionPool
 from ramppost.gateway.model import Upstream
 from ramppost.wire.client import CallFailed, connect
 
-Fate = Literal["alive", "silent", "ended"]
+ProbeResult = Literal["alive", "silent", "ended"]
 """What an upstream's box does with a connection: takes it, says nothing, or refuses it."""
 
 ASK_TIMEOUT_S: Final = 0.25
 """A box that is up answers within the way there and back; a dark one never does."""
-GOOD_S: Final[dict[Fate, float]] = {"alive": 0.05, "silent": 0.5, "ended": float("inf")}
+GOOD_S: Final[dict[ProbeResult, float]] = {"alive": 0.05, "silent": 0.5, "ended": float("inf")}
 """How long what was found is good: for all whose answers broke off at one moment, and for a silent
 one longer than it takes to ask."""
 MAX_KEPT: Final = 1024
@@ -35,17 +35,17 @@
     def __init__(self, at: float) -> None:
         self.at = at
         self.answered = curio.Event()
-        self.fate: Fate = "alive"
+        self.fate: ProbeResult = "alive"
 
 
-class Endings:
+class UpstreamProbes:
     """What upstreams were found to be whose answers broke off, by start."""
 
-    def __init__(self, links: Links) -> None:
+    def __init__(self, links: ConnectionPool) -> None:
         self._links = links
         self._asked: dict[str, _Question] = {}
 
-    async def fate_of(self, upstream: Upstream) -> Fate:
+    async def probe(self, upstream: Upstream) -> ProbeResult:
         """What has become of an upstream that broke an answer off."""
         now = clock.now()
         asked = self._asked.get(upstream.key)
@@ -77,7 +77,7 @@
             del self._asked[next(iter(self._asked))]
         return asked
 
-    async def _ask(self, upstream: Upstream) -> Fate:
+    async def _ask(self, upstream: Upstream) -> ProbeResult:
         sock = await connect(upstream.addr, (self._links.source, 0), ASK_TIMEOUT_S)
         if isinstance(sock, CallFailed):
             return "ended" if sock.refused else "silent"
--- a/ramppost/gateway/escalation.py
+++ b/ramppost/gateway/escalation.py
@@ -7,12 +7,18 @@
 from ramppost import clock
 from ramppost.gateway.attempt import Running
 from ramppost.gateway.job import Job
-from ramppost.gateway.models import ModelPlan, good_enough, model_plan, next_model, under_load
-from ramppost.gateway.pick import look, pick
+from ramppost.gateway.models import (
+    ModelPlan,
+    adjusted_for_load,
+    is_acceptable,
+    model_plan,
+    next_model,
+)
+from ramppost.gateway.pick import pick, query_backlogs
 from ramppost.gateway.state import Gateway
 
 
-def plan_of(gw: Gateway, job: Job, may_retry: bool) -> ModelPlan:
+def plan_models(gw: Gateway, job: Job, may_retry: bool) -> ModelPlan:
     """The models to ask, by the policy that the session or request falls to."""
     workspace = job.workspace.name if job.workspace is not None else ""
     policy = gw.policies.of(workspace, job.req.session or job.req.attempt_id)
@@ -22,17 +28,19 @@
     return plan
 
 
-async def larger_model(gw: Gateway, job: Job, service: str, plan: ModelPlan, got: Running) -> str:
+async def choose_larger_model(
+    gw: Gateway, job: Job, service: str, plan: ModelPlan, got: Running
+) -> str:
     """The larger model to ask instead of passing an answer on; empty to pass it on."""
-    if got.head.status >= 400 or good_enough(plan, got.model, got.head.confidence):
+    if got.head.status >= 400 or is_acceptable(plan, got.model, got.head.confidence):
         return ""
     now = clock.now()
-    if job.tries >= job.route.attempts or gw.retry_budget_of(service).available(now) < 1:
+    if job.counted_attempts >= job.route.attempts or gw.retry_budget_of(service).available(now) < 1:
         return ""
-    tried, job.tried = job.tried, set()
-    await look(gw, job, service, plan.models[-1])
+    tried, job.tried_upstreams = job.tried_upstreams, set()
+    await query_backlogs(gw, job, service, plan.models[-1])
     larger = _worth_asking(gw, job, service, plan, got)
-    job.tried = tried
+    job.tried_upstreams = tried
     return larger
 
 
@@ -49,8 +57,8 @@
     read_s = at_largest.prefill_s if at_largest is not None else 0.0
     least_wait_s = _least_wait_s(job)
     shortage = gw.pressure.shortage(now, least_wait_s)
-    eased = plan._replace(policy=under_load(plan.policy, shortage, read_s))
-    enough = good_enough(eased, got.model, got.head.confidence)
+    eased = plan._replace(policy=adjusted_for_load(plan.policy, shortage, read_s))
+    enough = is_acceptable(eased, got.model, got.head.confidence)
     left_s = job.read_at + job.route.objective_s - now
     larger = "" if enough else next_model(plan, got.model, first_s, left_s)
     logger.info(
@@ -71,5 +79,5 @@
 
 def _least_wait_s(job: Job) -> float:
     """The least wait that the engines just asked about have told, seconds."""
-    told = job.look.told.values() if job.look is not None else ()
+    told = job.backlog_snapshot.backlogs.values() if job.backlog_snapshot is not None else ()
     return min((one.ahead_s for one in told), default=0.0)
--- a/ramppost/gateway/fatal.py
+++ b/ramppost/gateway/fatal.py
@@ -219,7 +219,7 @@
 
     def _cut(self, fingerprint: str) -> None:
         for exchange in self._waiting.get(fingerprint, ()):
-            exchange.cut()
+            exchange.shut_down()
 
 
 def _adds(found: FatalRequest, held: FatalRequest) -> bool:
--- a/ramppost/gateway/passing.py
+++ b/ramppost/gateway/forwarding.py
@@ -15,7 +15,7 @@
 from ramppost.gateway.events import Event, EventSplitter
 from ramppost.gateway.inbound import Reply
 from ramppost.gateway.job import Job
-from ramppost.gateway.links import Broken, End
+from ramppost.gateway.links import BodyEnd, Broken
 from ramppost.gateway.state import Gateway
 from ramppost.platform.headers import Headers
 from ramppost.policy.fatal import ObservedRun
@@ -26,7 +26,7 @@
 """A stream that pauses so many times its allowed gap is taken up elsewhere."""
 
 
-class Passed(NamedTuple):
+class Forwarded(NamedTuple):
     """The answer was passed on whole; seconds from sending to its first and last byte.
 
     Where it is not `framed`, an upstream that ended within it would have looked the same.
@@ -38,14 +38,16 @@
     framed: bool
 
 
-async def pass_whole(running: Running, reply: Reply, course: ObservedRun) -> Passed | Broken:
+async def forward_response(
+    running: Running, reply: Reply, course: ObservedRun
+) -> Forwarded | Broken:
     """Pass on an answer that is not a stream.  `course` is told of each piece that comes."""
     body = bytearray()
     while True:
-        piece = await running.exchange.piece()
+        piece = await running.exchange.read_chunk()
         if isinstance(piece, Broken):
             return piece
-        if isinstance(piece, End):
+        if isinstance(piece, BodyEnd):
             break
         course.record_piece(clock.now())
         if reply.started:
@@ -58,12 +60,12 @@
         await reply.end()
     else:
         await reply.send(running.head.status, running.head.headers, bytes(body))
-    return Passed(running.first_s, clock.now() - running.sent_at, 0, piece.framed)
+    return Forwarded(running.first_s, clock.now() - running.sent_at, 0, piece.framed)
 
 
-async def pass_stream(
+async def forward_stream(
     gw: Gateway, job: Job, running: Running, reply: Reply, course: ObservedRun
-) -> Passed | Broken:
+) -> Forwarded | Broken:
     """Pass on a stream's events; Broken where it stops before its end.  `course` is told of each
     piece that comes."""
     splitter = EventSplitter()
@@ -72,9 +74,9 @@
         piece = await _piece_in_time(gw, job, running)
         if isinstance(piece, Broken):
             return piece
-        if isinstance(piece, End):
+        if isinstance(piece, BodyEnd):
             if splitter.remainder:
-                return Broken("stream ended within an event", cut=True)
+                return Broken("stream ended within an event", by_peer=True)
             break
         course.record_piece(clock.now())
         events = splitter.feed(piece)
@@ -86,22 +88,22 @@
         if events:
             await _write_events(running, reply, b"".join(event.raw for event in events))
             passed += len(events)
-            job.events += len(events)
+            job.forwarded_events += len(events)
     if not reply.started:
         await reply.send(running.head.status, running.head.headers, b"")
     else:
         await reply.end()
-    return Passed(running.first_s, clock.now() - running.sent_at, passed, piece.framed)
+    return Forwarded(running.first_s, clock.now() - running.sent_at, passed, piece.framed)
 
 
 async def _write_events(running: Running, reply: Reply, data: bytes) -> None:
     if reply.started:
         await reply.write(data)
     else:
-        await reply.start(running.head.status, without_length(running.head.headers), data)
+        await reply.start(running.head.status, without_content_length(running.head.headers), data)
 
 
-def without_length(headers: Headers) -> Headers:
+def without_content_length(headers: Headers) -> Headers:
     """Headers for an answer that may go on from another upstream."""
     return tuple(item for item in headers if item[0] != b"content-length")
 
@@ -113,15 +115,17 @@
     return int(event.id) == int(job.last_event_id) + 1
 
 
-async def _piece_in_time(gw: Gateway, job: Job, running: Running) -> bytes | End | Broken:
+async def _piece_in_time(gw: Gateway, job: Job, running: Running) -> bytes | BodyEnd | Broken:
     """The next bytes; Broken where the upstream has gone silent altogether."""
     limit_s = STALL_GAPS * job.route.gap_objective_s
     while True:
         since = clock.now()
         try:
-            got: bytes | End | Broken = await curio.timeout_after(limit_s, running.exchange.piece())
+            got: bytes | BodyEnd | Broken = await curio.timeout_after(
+                limit_s, running.exchange.read_chunk()
+            )
             return got
         except curio.TaskTimeout:
             upstream_key = running.chosen.upstream.key
-            if gw.links.heard.get(upstream_key, float("-inf")) < since:
+            if gw.links.last_received_at.get(upstream_key, float("-inf")) < since:
                 return Broken(f"silent for {limit_s:.1f} s within its stream")
--- a/ramppost/gateway/inbound.py
+++ b/ramppost/gateway/inbound.py
@@ -16,7 +16,7 @@
 from loguru import logger
 
 from ramppost import clock
-from ramppost.gateway.links import set_probes
+from ramppost.gateway.links import configure_socket
 from ramppost.gateway.model import CallerLimits, CallerRequest
 from ramppost.platform.headers import Headers, caller_request
 from ramppost.wire.server import Gone, next_client
@@ -91,16 +91,16 @@
 """Serves a request that had been read whole at that time on the steady clock."""
 
 
-class Doorway(NamedTuple):
+class ServerHooks(NamedTuple):
     """What connections need of the gateway: limits in force, whether to close, the work."""
 
     limits: Callable[[], CallerLimits]
-    closing: Callable[[], bool]
+    is_closing: Callable[[], bool]
     serve: Serve
-    refuse: Callable[[BadRequest], bytes]
+    refusal_body: Callable[[BadRequest], bytes]
 
 
-class Callers:
+class CallerConnections:
     """Connections of callers, and those of them that wait for a request."""
 
     def __init__(self) -> None:
@@ -115,22 +115,22 @@
         self.idle.clear()
 
 
-async def accept_callers(sock: Any, callers: Callers, doorway: Doorway) -> None:
+async def accept_callers(sock: Any, callers: CallerConnections, hooks: ServerHooks) -> None:
     """Accept connections until cancelled; each goes on in a daemon task of its own."""
     async with sock:
         while True:
             client = await next_client(sock, lambda: callers.count >= MAX_CONNECTIONS)
-            set_probes(client)
-            await curio.spawn(_connection, client, callers, doorway, daemon=True)
+            configure_socket(client)
+            await curio.spawn(_connection, client, callers, hooks, daemon=True)
 
 
-async def _connection(sock: Any, callers: Callers, doorway: Doorway) -> None:
-    limits = doorway.limits()
+async def _connection(sock: Any, callers: CallerConnections, hooks: ServerHooks) -> None:
+    limits = hooks.limits()
     conn = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.header_bytes)
     callers.count += 1
     try:
         async with sock:
-            while await _one_request(sock, conn, callers, doorway):
+            while await _one_request(sock, conn, callers, hooks):
                 conn.start_next_cycle()
     except (Gone, OSError, h11.LocalProtocolError) as exc:
         logger.debug("caller's connection ended: {!r}", exc)
@@ -139,35 +139,37 @@
         callers.idle.discard(sock)
 
 
-async def _one_request(sock: Any, conn: h11.Connection, callers: Callers, doorway: Doorway) -> bool:
+async def _one_request(
+    sock: Any, conn: h11.Connection, callers: CallerConnections, hooks: ServerHooks
+) -> bool:
     """Serve one request; true if the connection may carry another."""
-    if not await _wait_for_request(sock, conn, callers, doorway):
+    if not await _wait_for_request(sock, conn, callers, hooks):
         return False
     callers.busy += 1
     try:
-        got = await _read_request(sock, conn, doorway.limits())
+        got = await _read_request(sock, conn, hooks.limits())
         if got is None:
             return False
-        reply = Reply(sock, conn, doorway.closing)
+        reply = Reply(sock, conn, hooks.is_closing)
         if isinstance(got, BadRequest):
-            await _refuse(sock, conn, reply, got, doorway.refuse)
+            await _refuse(sock, conn, reply, got, hooks.refusal_body)
             return False
-        await _serve_while_there(sock, conn, got, reply, doorway.serve)
+        await _serve_while_there(sock, conn, got, reply, hooks.serve)
     finally:
         callers.busy -= 1
     done = conn.our_state is h11.DONE and conn.their_state is h11.DONE
-    return done and not doorway.closing()
+    return done and not hooks.is_closing()
 
 
 async def _wait_for_request(
-    sock: Any, conn: h11.Connection, callers: Callers, doorway: Doorway
+    sock: Any, conn: h11.Connection, callers: CallerConnections, hooks: ServerHooks
 ) -> bool:
     """Wait for the first bytes of a request; false if none come within the idle limit."""
     if conn.trailing_data[0]:
         return True
     callers.idle.add(sock)
     try:
-        data = await curio.timeout_after(doorway.limits().idle_timeout_s, sock.recv(READ_SIZE))
+        data = await curio.timeout_after(hooks.limits().idle_timeout_s, sock.recv(READ_SIZE))
     except curio.TaskTimeout:
         return False
     finally:
--- a/ramppost/gateway/job.py
+++ b/ramppost/gateway/job.py
@@ -10,12 +10,12 @@
 from ramppost.policy.fingerprint import fingerprint
 
 
-class Look(NamedTuple):
+class BacklogSnapshot(NamedTuple):
     """What was told of engines for a model, and when (steady clock)."""
 
     model: str
-    told: dict[str, Told]
-    at: float
+    backlogs: dict[str, Told]
+    taken_at: float
 
 
 class Job:
@@ -32,12 +32,12 @@
         self.deadline = read_at + min(req.deadline_s, admitted.route.timeout_s)
         self.attempts = 0
         """Upstreams that it was sent to, those that refused it among them."""
-        self.ended = 0
+        self.upstream_ends = 0
         """Those of them that ended while they had it."""
         self.may_have_run = False
         """Whether an upstream got it and did not say that it had not run it."""
-        self.tried: set[str] = set()
-        self.look: Look | None = None
+        self.tried_upstreams: set[str] = set()
+        self.backlog_snapshot: BacklogSnapshot | None = None
         """The last look at engines that may take it."""
         self.failed_versions: set[str] = set()
         """Versions of upstreams that answered with a failure which was tried again."""
@@ -47,18 +47,18 @@
         """What its answers have cost so far, dropped ones too, in the platform's prices."""
         self.confidence: float | None = None
         """Of the answer that was passed on, 0 to 100."""
-        self.first_at: float | None = None
+        self.head_at: float | None = None
         """When the head of that answer came (steady clock)."""
-        self.events = 0
+        self.forwarded_events = 0
         """Events of a stream that were passed on."""
         self.last_event_id = ""
         """Of the last event passed on, as the upstream gave it."""
 
     @property
-    def tries(self) -> int:
+    def counted_attempts(self) -> int:
         """Attempts that count against the route's: an upstream's end says nothing of a request
         that ran beside others, and one that ends upstreams is stopped by itself."""
-        return self.attempts - self.ended
+        return self.attempts - self.upstream_ends
 
     def left_s(self, now: float) -> float:
         """Seconds until it has to be answered."""
--- a/ramppost/gateway/links.py
+++ b/ramppost/gateway/links.py
@@ -56,10 +56,10 @@
     """
 
     reason: str
-    cut: bool = False
+    by_peer: bool = False
 
 
-class End(NamedTuple):
+class BodyEnd(NamedTuple):
     """The answer is over.  `framed` is false where only the close of the connection says so."""
 
     framed: bool
@@ -75,11 +75,11 @@
     attempt_id: str
 
 
-Compose = Callable[[], OutgoingRequest | NotSent]
+ComposeRequest = Callable[[], OutgoingRequest | NotSent]
 """Gives what is to be sent once there is a connection, or why it must not be sent any more."""
 
 
-class Link:
+class PooledConnection:
     """A connection to an upstream."""
 
     def __init__(self, sock: Any, upstream: Upstream) -> None:
@@ -89,18 +89,18 @@
         self.idle_until = 0.0
 
 
-class Links:
+class ConnectionPool:
     """Idle connections by upstream, and counts of what was opened."""
 
     def __init__(self, source: str) -> None:
         self.source = source
-        self.idle: dict[str, list[Link]] = {}
+        self.idle: dict[str, list[PooledConnection]] = {}
         self.opened = 0
         self.reused = 0
-        self.heard: dict[str, float] = {}
+        self.last_received_at: dict[str, float] = {}
         """When bytes last came from an upstream, on the steady clock."""
 
-    def take(self, upstream: Upstream, now: float) -> Link | None:
+    def take_idle(self, upstream: Upstream, now: float) -> PooledConnection | None:
         """An idle connection that is fit for use, the latest used first."""
         links = self.idle.get(upstream.key, [])
         while links:
@@ -111,7 +111,7 @@
             link.sock._socket.close()
         return None
 
-    def keep(self, link: Link, keep_alive_s: float | None, now: float) -> bool:
+    def return_idle(self, link: PooledConnection, keep_alive_s: float | None, now: float) -> bool:
         """Keep a connection for reuse; false where there are enough."""
         links = self.idle.setdefault(link.upstream.key, [])
         idle_s = DEFAULT_IDLE_S if keep_alive_s is None else keep_alive_s - IDLE_MARGIN_S
@@ -122,11 +122,11 @@
         links.append(link)
         return True
 
-    def forget(self, upstream_key: str) -> None:
+    def drop_upstream(self, upstream_key: str) -> None:
         """Close what is idle to an upstream that has left."""
         for link in self.idle.pop(upstream_key, []):
             link.sock._socket.close()
-        self.heard.pop(upstream_key, None)
+        self.last_received_at.pop(upstream_key, None)
 
     def close_expired(self, now: float) -> None:
         """Close idle connections that must not be used any more."""
@@ -141,7 +141,7 @@
 class Exchange:
     """A request that was sent, and its answer.  Call `finish` or `abort` when done."""
 
-    def __init__(self, links: Links, link: Link, req: OutgoingRequest) -> None:
+    def __init__(self, links: ConnectionPool, link: PooledConnection, req: OutgoingRequest) -> None:
         self._links = links
         self._link = link
         self._req = req
@@ -160,17 +160,17 @@
             else:
                 self._sender = await curio.spawn(self._send_beside, data, daemon=True)
         except OSError as exc:
-            return Broken(f"sending failed: {exc}", cut=True)
+            return Broken(f"sending failed: {exc}", by_peer=True)
         return None
 
-    async def head(self) -> AnswerHead | Broken:
+    async def read_head(self) -> AnswerHead | Broken:
         """The head of the answer to this request; answers to others are skipped."""
         for _ in range(MAX_SURPLUS):
             event = await self._event()
             if isinstance(event, Broken):
                 return event
             if not isinstance(event, h11.Response):
-                return Broken("connection closed before the answer", cut=True)
+                return Broken("connection closed before the answer", by_peer=True)
             head = answer_head(event.status_code, tuple(event.headers))
             if head.attempt_id in ("", self._req.attempt_id):
                 self._framed = _is_framed(tuple(event.headers), event.status_code)
@@ -179,12 +179,12 @@
             skipped = await self._skip_surplus()
             if skipped is not None:
                 return skipped
-        return Broken("too many answers to other requests", cut=True)
+        return Broken("too many answers to other requests", by_peer=True)
 
-    async def piece(self) -> bytes | End | Broken:
+    async def read_chunk(self) -> bytes | BodyEnd | Broken:
         """The next bytes of the answer's body."""
         if self._ended:
-            return End(self._framed)
+            return BodyEnd(self._framed)
         event = await self._event()
         if isinstance(event, Broken):
             return event
@@ -192,8 +192,8 @@
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             self._ended = True
-            return End(self._framed)
-        return Broken("connection closed within the answer", cut=True)
+            return BodyEnd(self._framed)
+        return Broken("connection closed within the answer", by_peer=True)
 
     async def finish(self) -> None:
         """Keep the connection where the answer was read whole, else close it."""
@@ -202,7 +202,7 @@
         sent = self._sender is None or self._sender.terminated
         clean = whole and sent and conn.trailing_data[0] == b""
         now = clock.now()
-        if not (clean and self._links.keep(self._link, self._keep_alive_s, now)):
+        if not (clean and self._links.return_idle(self._link, self._keep_alive_s, now)):
             await self.abort()
 
     async def abort(self) -> None:
@@ -211,7 +211,7 @@
             await self._sender.cancel(blocking=False)
         self._link.sock._socket.close()
 
-    def cut(self) -> None:
+    def shut_down(self) -> None:
         """End the connection under whoever reads from it, who finds it closed."""
         try:
             self._link.sock._socket.shutdown(socket.SHUT_RDWR)
@@ -228,13 +228,13 @@
     async def _skip_surplus(self) -> Broken | None:
         """Read an answer that is not ours to its end, and start over with what follows it."""
         while True:
-            piece = await self.piece()
+            piece = await self.read_chunk()
             if isinstance(piece, Broken):
                 return piece
-            if isinstance(piece, End):
+            if isinstance(piece, BodyEnd):
                 break
         if not self._framed:
-            return Broken("connection closed after an answer to another request", cut=True)
+            return Broken("connection closed after an answer to another request", by_peer=True)
         rest, _ = self._link.h11.trailing_data
         self._link.h11 = h11.Connection(h11.CLIENT)
         _request_bytes(self._link.h11, self._req)
@@ -248,34 +248,34 @@
             try:
                 event = self._link.h11.next_event()
             except h11.RemoteProtocolError as exc:
-                return Broken(f"not an answer: {exc}", cut=True)
+                return Broken(f"not an answer: {exc}", by_peer=True)
             if event is h11.NEED_DATA:
                 try:
                     data = await self._link.sock.recv(READ_SIZE)
                 except OSError as exc:
-                    return Broken(f"connection failed: {exc}", cut=True)
+                    return Broken(f"connection failed: {exc}", by_peer=True)
                 if data:
-                    self._links.heard[self._link.upstream.key] = clock.now()
+                    self._links.last_received_at[self._link.upstream.key] = clock.now()
                 try:
                     self._link.h11.receive_data(data)
                 except h11.RemoteProtocolError as exc:
-                    return Broken(f"not an answer: {exc}", cut=True)
+                    return Broken(f"not an answer: {exc}", by_peer=True)
             elif not isinstance(event, h11.InformationalResponse):
                 return event
 
 
 async def open_exchange(
-    links: Links, upstream: Upstream, compose: Compose
+    links: ConnectionPool, upstream: Upstream, compose: ComposeRequest
 ) -> Exchange | NotSent | Broken:
     """Send a request to an upstream, on a kept connection or a new one."""
-    link = links.take(upstream, clock.now())
+    link = links.take_idle(upstream, clock.now())
     if link is None:
         links.opened += 1
         sock = await connect(upstream.addr, (links.source, 0), CONNECT_TIMEOUT_S)
         if isinstance(sock, CallFailed):
             return NotSent(sock.reason, refused=sock.refused)
-        set_probes(sock)
-        link = Link(sock, upstream)
+        configure_socket(sock)
+        link = PooledConnection(sock, upstream)
     req = compose()
     if isinstance(req, NotSent):
         link.sock._socket.close()
@@ -288,7 +288,7 @@
     return exchange
 
 
-def set_probes(sock: Any) -> None:
+def configure_socket(sock: Any) -> None:
     """Send small packets at once, and notice a peer that has gone dark."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/ramppost/gateway/main.py
+++ b/ramppost/gateway/main.py
@@ -17,7 +17,7 @@
 from ramppost.gateway.departures import RESTART_S, heard_leaving, tell_leaving
 from ramppost.gateway.early import parse_address
 from ramppost.gateway.fatal_doc import keep_document
-from ramppost.gateway.inbound import BadRequest, Doorway, accept_callers
+from ramppost.gateway.inbound import BadRequest, ServerHooks, accept_callers
 from ramppost.gateway.joining import join
 from ramppost.gateway.loading import load_pending
 from ramppost.gateway.operators import internal_handler
@@ -81,11 +81,11 @@
     await curio.spawn(keep_document, gw, daemon=True)
     metrics = listen(cfg["ip"], cfg["metrics_port"])
     await curio.spawn(serve_http, metrics, _metrics_handler(gw), daemon=True)
-    doorway = Doorway(
+    doorway = ServerHooks(
         limits=lambda: gw.limits,
-        closing=lambda: gw.draining,
+        is_closing=lambda: gw.draining,
         serve=lambda req, reply, read_at: serve(gw, req, reply, read_at),
-        refuse=_bad_request_body,
+        refusal_body=_bad_request_body,
     )
     await _wait_for_initial_state(gw)
     callers = (
--- a/ramppost/gateway/models.py
+++ b/ramppost/gateway/models.py
@@ -22,7 +22,7 @@
     policy: Policy
 
 
-def under_load(policy: Policy, shortage: float, read_s: float) -> Policy:
+def adjusted_for_load(policy: Policy, shortage: float, read_s: float) -> Policy:
     """A `learned` policy as a cascade with the threshold that the load allows for a prompt that
     the larger model takes `read_s` seconds to read."""
     if policy["kind"] != "learned":
@@ -47,7 +47,7 @@
     return ModelPlan(models, policy)
 
 
-def good_enough(plan: ModelPlan, model: str, confidence: float | None) -> bool:
+def is_acceptable(plan: ModelPlan, model: str, confidence: float | None) -> bool:
     """Whether an answer is taken; `confidence` is 0 to 100, None where not told."""
     last = model == plan.models[-1]
     return last or confidence is None or cascade_stops(plan.policy, confidence / 100)
--- a/ramppost/gateway/pick.py
+++ b/ramppost/gateway/pick.py
@@ -1,7 +1,7 @@
 """Picks the upstream of an attempt from what the gateway knows now.
 
-`look` asks what the candidates have ahead of them, `pick` chooses among them; a choice that
-was not looked for rests on what this gateway has sent itself.
+`query_backlogs` asks for the backlogs of the candidates and `pick` selects among them.  Without a
+recent query, the selection relies on the requests that this gateway has sent itself.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 from ramppost import clock
 from ramppost.gateway.backlogs import NOTHING_KNOWN, Question, Told
-from ramppost.gateway.job import Job, Look
+from ramppost.gateway.job import BacklogSnapshot, Job
 from ramppost.gateway.model import Prompt, Service, Upstream
 from ramppost.gateway.pools import Candidates
 from ramppost.gateway.state import Gateway
@@ -31,7 +31,7 @@
 
 USUAL_PLAIN_S: Final = 0.03
 """What a plain upstream's latency is taken for until one has answered."""
-MOST_ASKED: Final = 4
+MAX_QUERIED_ENGINES: Final = 4
 """Engines that are asked about for one prompt, where a service has more: the best by what is
 known here, and the home of its shared parts.  With six, worth was 0.004 to 0.007 less on three
 days of a fleet of 32 gateways (one run of each), and datagrams cost half as much again."""
@@ -43,7 +43,7 @@
 """How long what was told of engines is used: a long prompt may be sent there at any moment."""
 
 
-class Chosen(NamedTuple):
+class Selection(NamedTuple):
     """An upstream, and what decided for it, for the log.
 
     `first_s` is the predicted time to its first byte, `prefill_s` that of reading the
@@ -64,7 +64,7 @@
     complete: bool
 
 
-def service_of(job: Job) -> str:
+def select_service(job: Job) -> str:
     """The service of a route with several: by weight, the same for all of a session."""
     targets = job.route.targets
     if len(targets) == 1:
@@ -78,7 +78,7 @@
     return targets[-1].service
 
 
-async def look(gw: Gateway, job: Job, service_name: str, model: str) -> None:
+async def query_backlogs(gw: Gateway, job: Job, service_name: str, model: str) -> None:
     """Ask what the engines that may take a request have ahead of them.
 
     The look that decided for a larger model serves its first attempt, too.
@@ -88,19 +88,23 @@
     prompt = job.req.prompt
     if service is None or service.engine is None or prompt is None:
         return
-    if not job.tried and _is_recent(job.look, model, now):
+    if not job.tried_upstreams and _is_recent(job.backlog_snapshot, model, now):
         return
-    engines = asked_about(gw, job, service_name, model, now)
+    engines = engines_to_query(gw, job, service_name, model, now)
     question = _question(gw, job, model, prompt)
-    job.look = Look(model, await gw.backlogs.ask(engines, question), clock.now())
+    job.backlog_snapshot = BacklogSnapshot(
+        model, await gw.backlogs.ask(engines, question), clock.now()
+    )
 
 
-def asked_about(gw: Gateway, job: Job, service_name: str, model: str, now: float) -> list[Upstream]:
+def engines_to_query(
+    gw: Gateway, job: Job, service_name: str, model: str, now: float
+) -> list[Upstream]:
     """The engines whose backlogs are asked for before a prompt is placed: the most promising by
     what is known here, with the home of the shared parts."""
     fit = candidates(gw, job, service_name, now)
     prompt = job.req.prompt
-    if prompt is None or len(fit) <= MOST_ASKED:
+    if prompt is None or len(fit) <= MAX_QUERIED_ENGINES:
         return fit
     found = gw.pools.of(service_name, fit)
     question = _question(gw, job, model, prompt)
@@ -113,7 +117,7 @@
     best = [
         placed.id for placed in rank_engines(views, work, gw.prefill_rates, around, now, gw.rng)
     ]
-    return [found.by_key[key] for key in {around.home, *best[: MOST_ASKED - 1]} - {""}]
+    return [found.by_key[key] for key in {around.home, *best[: MAX_QUERIED_ENGINES - 1]} - {""}]
 
 
 def _around(gw: Gateway, found: Candidates, work: PrefillWork) -> PlacementContext:
@@ -121,9 +125,13 @@
     return PlacementContext(hall, home_engine(found.pool, work, hall), found.pool.long_prompt_ids)
 
 
-def _is_recent(look: Look | None, model: str, now: float) -> TypeGuard[Look]:
+def _is_recent(
+    snapshot: BacklogSnapshot | None, model: str, now: float
+) -> TypeGuard[BacklogSnapshot]:
     """Whether a look was for this model, and is recent enough to choose by."""
-    return look is not None and look.model == model and now - look.at < LOOK_GOOD_S
+    return (
+        snapshot is not None and snapshot.model == model and now - snapshot.taken_at < LOOK_GOOD_S
+    )
 
 
 def candidates(gw: Gateway, job: Job, service_name: str, now: float) -> list[Upstream]:
@@ -158,7 +166,7 @@
     side = gw.rollouts.side(service_name, usable, job.req.attempt_id, job.req.session, now)
     for avoided in (job.failed_versions, set()):
         for group in (side.preferred, side.others):
-            fit = _untried(group, job.tried, avoided)
+            fit = _untried(group, job.tried_upstreams, avoided)
             if fit:
                 return fit
     return []
@@ -172,7 +180,7 @@
     return [u for u in group if u.key not in tried and u.version not in avoided]
 
 
-def pick(gw: Gateway, job: Job, service_name: str, model: str, now: float) -> Chosen | None:
+def pick(gw: Gateway, job: Job, service_name: str, model: str, now: float) -> Selection | None:
     """The best upstream that was not tried yet; None where there is none."""
     assert gw.table is not None
     service = gw.table.services.get(service_name)
@@ -216,7 +224,7 @@
     model: str,
     prompt: Prompt,
     now: float,
-) -> Chosen:
+) -> Selection:
     work = PrefillWork(model, prompt.parts, prompt.tokens_in, _size(job, service, prompt))
     among = gw.pools.of(service.name, fit)
     around = _around(gw, among, work)
@@ -236,9 +244,9 @@
     now: float,
 ) -> dict[str, Told]:
     """What was told of candidates a moment ago; what is known here where nobody was asked."""
-    look = job.look
-    if _is_recent(look, question.model, now):
-        told = {key: told for key, told in look.told.items() if key in among.by_key}
+    snapshot = job.backlog_snapshot
+    if _is_recent(snapshot, question.model, now):
+        told = {key: told for key, told in snapshot.backlogs.items() if key in among.by_key}
         if told:
             return told
     weighed = select_candidates(among.pool, around.hall, around.home, gw.rng)
@@ -254,9 +262,9 @@
     told: Told,
     kept_tokens: int,
     now: float,
-) -> Chosen:
+) -> Selection:
     report = gw.loads.reported(best.key)
-    return Chosen(
+    return Selection(
         upstream=best,
         service=service,
         candidates=candidates,
--- a/ramppost/gateway/rollout_duty.py
+++ b/ramppost/gateway/rollout_duty.py
@@ -13,8 +13,8 @@
 
 from ramppost import clock
 from ramppost.gateway.attempt import Running
+from ramppost.gateway.forwarding import Forwarded
 from ramppost.gateway.model import RolloutOrder
-from ramppost.gateway.passing import Passed
 from ramppost.gateway.rollouts import Running as Rollout
 from ramppost.gateway.state import Gateway
 from ramppost.platform import names
@@ -61,7 +61,7 @@
     part: float
 
 
-def judge_answer(gw: Gateway, running: Running, bad: bool, passed: Passed | None = None) -> None:
+def judge_answer(gw: Gateway, running: Running, bad: bool, passed: Forwarded | None = None) -> None:
     """Take an answer in as evidence for or against its version."""
     chosen = running.chosen
     service = chosen.service.name
@@ -75,7 +75,7 @@
         )
 
 
-def _is_slow(gw: Gateway, running: Running, passed: Passed, rollout: Rollout | None) -> bool:
+def _is_slow(gw: Gateway, running: Running, passed: Forwarded, rollout: Rollout | None) -> bool:
     """Whether an answer took several times what the version in service usually takes."""
     service = running.chosen.service.name
     pace = gw.paces.setdefault((service, running.model), TimingBaseline())
--- a/ramppost/gateway/serve.py
+++ b/ramppost/gateway/serve.py
@@ -14,17 +14,17 @@
 
 from ramppost import clock
 from ramppost.errors import Ran, Refusal, error_body, refusal
-from ramppost.gateway.admit import admit, stale
-from ramppost.gateway.aftermath import after_close, after_cut
+from ramppost.gateway.admit import admit, stale_refusal
+from ramppost.gateway.aftermath import handle_broken_response, handle_unframed_end
 from ramppost.gateway.attempt import Refused, Running, attempt, release
 from ramppost.gateway.counts import Ended
-from ramppost.gateway.escalation import larger_model, plan_of
+from ramppost.gateway.escalation import choose_larger_model, plan_models
+from ramppost.gateway.forwarding import Forwarded, forward_response, forward_stream
 from ramppost.gateway.inbound import JSON_TYPE, Reply
 from ramppost.gateway.job import Job
 from ramppost.gateway.links import Broken, NotSent
 from ramppost.gateway.model import CallerRequest
-from ramppost.gateway.passing import Passed, pass_stream, pass_whole
-from ramppost.gateway.pick import look, pick, service_of, warmup_wait_s
+from ramppost.gateway.pick import pick, query_backlogs, select_service, warmup_wait_s
 from ramppost.gateway.rollout_duty import judge_answer
 from ramppost.gateway.state import Gateway
 from ramppost.platform.headers import Headers, refusal_headers
@@ -75,21 +75,21 @@
 
 async def _answer(gw: Gateway, job: Job, reply: Reply) -> Refusal | None:
     """Find who answers and pass it on; a refusal where nobody did."""
-    service = service_of(job)
+    service = select_service(job)
     budget = gw.retry_budget_of(service)
     began_at = clock.now()
     budget.record_try(began_at)
-    plan = plan_of(gw, job, budget.available(began_at) >= 1)
+    plan = plan_models(gw, job, budget.available(began_at) >= 1)
     model = plan.models[0]
     while True:
-        got = await _running(gw, job, service, model, reply)
+        got = await _try_upstreams(gw, job, service, model, reply)
         if isinstance(got, Refusal):
             return got
-        larger = "" if reply.started else await larger_model(gw, job, service, plan, got)
+        larger = "" if reply.started else await choose_larger_model(gw, job, service, plan, got)
         if larger:
             await release(got, False)
             model = larger
-            job.tried.clear()
+            job.tried_upstreams.clear()
             continue
         # A stream that breaks off goes on with the model that began it.
         plan = plan._replace(models=(model,))
@@ -107,7 +107,7 @@
         job.cost += engine.prices.get(running.model, 0.0) * tokens / 1000
 
 
-async def _running(
+async def _try_upstreams(
     gw: Gateway, job: Job, service: str, model: str, reply: Reply
 ) -> Running | Refusal:
     """Try upstreams until one answers, or until there is no reason to go on."""
@@ -116,11 +116,11 @@
     while True:
         if gw.fatal.is_fatal(job.fingerprint):
             return _fatal(job)
-        await look(gw, job, service, model)
+        await query_backlogs(gw, job, service, model)
         # After all that may take time: a process that was frozen finds its confirmation old here.
         now = clock.now()
         if job.workspace is not None and not gw.freshness.may_start(now):
-            return _final(job, stale())
+            return _final(job, stale_refusal())
         chosen = pick(gw, job, service, model, now)
         wait_s = warmup_wait_s(gw, job, service, now) if chosen is None else None
         if wait_s:
@@ -151,7 +151,7 @@
             if failures >= MAX_CONNECT_FAILURES:
                 return _final(job, last)
         else:
-            await after_cut(gw, job, chosen.upstream, got, evidence_level(None, 0))
+            await handle_broken_response(gw, job, chosen.upstream, got, evidence_level(None, 0))
             last = refusal("outcome_unknown", got.reason)
             if job.route.repeat == "never":
                 return last
@@ -171,7 +171,7 @@
     """Whether one more upstream may be asked, by the route's attempts and the budget."""
     if job.attempts == 0:
         return True
-    if job.tries >= job.route.attempts:
+    if job.counted_attempts >= job.route.attempts:
         return False
     return gw.retry_budget_of(service).take(clock.now())
 
@@ -185,7 +185,7 @@
     judge_answer(gw, got, bad=got.head.status >= 500)
     if reply.started:
         return True
-    if job.route.repeat == "never" or job.tries >= job.route.attempts:
+    if job.route.repeat == "never" or job.counted_attempts >= job.route.attempts:
         return False
     now = clock.now()
     enough = gw.retry_budget_of(service).available(now) >= 1
@@ -204,24 +204,24 @@
     whole = False
     job.confidence = running.head.confidence
     head_at = running.sent_at + running.first_s
-    job.first_at = job.first_at or head_at
-    events_before = job.events
+    job.head_at = job.head_at or head_at
+    events_before = job.forwarded_events
     course = ObservedRun(head_at)
     try:
         if job.route.streams and running.head.status < 400:
-            got = await pass_stream(gw, job, running, reply, course)
+            got = await forward_stream(gw, job, running, reply, course)
         else:
-            got = await pass_whole(running, reply, course)
-        whole = isinstance(got, Passed)
+            got = await forward_response(running, reply, course)
+        whole = isinstance(got, Forwarded)
     finally:
         await release(running, whole)
         engine = running.chosen.service.engine
         if engine is not None:
-            _charge(job, running, (job.events - events_before) * engine.tokens_per_event)
+            _charge(job, running, (job.forwarded_events - events_before) * engine.tokens_per_event)
     if isinstance(got, Broken):
         now = clock.now()
         gw.suspicion_of(running.chosen.upstream.key).record_outcome(True, now)
-        events_there = job.events - events_before
+        events_there = job.forwarded_events - events_before
         logger.info(
             "answer broke off: {}",
             got.reason,
@@ -234,13 +234,13 @@
             lived_s=round(course.lived_s, 4),
         )
         sign = evidence_level(course.lived_s, events_there)
-        await after_cut(gw, job, running.chosen.upstream, got, sign)
+        await handle_broken_response(gw, job, running.chosen.upstream, got, sign)
         return got
     if got.framed:
         gw.fatal.answered(job.fingerprint, running.head.status)
     else:
         sign = evidence_level(course.lived_s, got.events)
-        await curio.spawn(after_close, gw, job, running, sign, daemon=True)
+        await curio.spawn(handle_unframed_end, gw, job, running, sign, daemon=True)
     judge_answer(gw, running, bad=running.head.status >= 500, passed=got)
     return None
 
@@ -293,7 +293,7 @@
         workspace=job.workspace.name if job.workspace is not None else "",
         route=job.route.name,
         served=served,
-        took_s=(now if job.first_at is None else job.first_at) - job.read_at,
+        took_s=(now if job.head_at is None else job.head_at) - job.read_at,
         objective_s=job.route.objective_s,
         policy=job.policy,
         cost=job.cost,
--- a/ramppost/gateway/state.py
+++ b/ramppost/gateway/state.py
@@ -9,12 +9,12 @@
 from ramppost.gateway.backlogs import Backlogs
 from ramppost.gateway.counts import Counts
 from ramppost.gateway.datagrams import Datagrams
-from ramppost.gateway.endings import Endings
+from ramppost.gateway.endings import UpstreamProbes
 from ramppost.gateway.fatal import FatalRequests
 from ramppost.gateway.follow import KindReplica, PendingObject, StoreOutage, UpdateNotifier
 from ramppost.gateway.freshness import Freshness
-from ramppost.gateway.inbound import Callers
-from ramppost.gateway.links import Links
+from ramppost.gateway.inbound import CallerConnections
+from ramppost.gateway.links import ConnectionPool
 from ramppost.gateway.load import Loads
 from ramppost.gateway.membership import Members
 from ramppost.gateway.metrics import Metrics
@@ -81,8 +81,8 @@
         self.freshness = Freshness(_withdrawal_bound_s(cfg), _serves_unconfirmed(cfg))
         self.store_outage = StoreOutage()
         self.store = StoreClient(cfg["store"]["addr"], Pool(cfg["ip"]))
-        self.links = Links(cfg["ip"])
-        self.endings = Endings(self.links)
+        self.links = ConnectionPool(cfg["ip"])
+        self.endings = UpstreamProbes(self.links)
         self.loads = Loads()
         self.prefill_rates = PrefillRates()
         self.pressure = Pressure()
@@ -90,7 +90,7 @@
         self.retry_budgets: dict[str, WindowBudget] = {}
         self.paces: dict[tuple[str, str], TimingBaseline] = {}
         self.rollouts = Rollouts(cfg["timing"]["session_s"])
-        self.callers = Callers()
+        self.callers = CallerConnections()
         self.metrics = Metrics()
         self.datagrams = Datagrams(self.metrics)
         self.backlogs = Backlogs(
@@ -170,7 +170,7 @@
 
     def forget(self, upstream_key: str) -> None:
         """Drop what is known of an upstream that has left or started again."""
-        self.links.forget(upstream_key)
+        self.links.drop_upstream(upstream_key)
         self.endings.forget(upstream_key)
         self.backlogs.forget(upstream_key)
         self.loads.forget(upstream_key)
--- a/ramppost/gateway/watchers.py
+++ b/ramppost/gateway/watchers.py
@@ -259,7 +259,7 @@
             born=found.born,
         )
     if found is not None and found.leaving:
-        gw.links.forget(found.key)
+        gw.links.drop_upstream(found.key)
     _forget_removed(gw)
 
 
--- a/tests/test_choice_size.py
+++ b/tests/test_choice_size.py
@@ -16,7 +16,7 @@
 
 from bench.choosing import fleet, job_of
 from ramppost import clock
-from ramppost.gateway.pick import MOST_ASKED, asked_about, pick
+from ramppost.gateway.pick import MAX_QUERIED_ENGINES, engines_to_query, pick
 from ramppost.gateway.state import Gateway
 from ramppost.policy import placement
 from ramppost.policy.backlog import PendingPrompt
@@ -45,7 +45,7 @@
             seen.clear()
         job = job_of(gw, rng)
         job.req = job.req._replace(prompt=prompt_of(job.req.prompt, number))
-        asked_about(gw, job, "lm", MODEL, clock.now())
+        engines_to_query(gw, job, "lm", MODEL, clock.now())
         pick(gw, job, "lm", MODEL, clock.now())
     return seen
 
@@ -76,9 +76,9 @@
         work = placement.PrefillWork(MODEL, prompt.parts, prompt.tokens_in)
         home = home_engine(pool, work, gw.cfg["hall"])
         assert home in select_candidates(pool, gw.cfg["hall"], home, rng)
-        asked = [up.key for up in asked_about(gw, job, "lm", MODEL, clock.now())]
+        asked = [up.key for up in engines_to_query(gw, job, "lm", MODEL, clock.now())]
         assert home in asked
-        assert len(asked) <= MOST_ASKED
+        assert len(asked) <= MAX_QUERIED_ENGINES
 
 
 def chosen(gw: Gateway, requests: int) -> set[str]:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -9,7 +9,7 @@
 
 from ramppost import clock
 from ramppost.gateway.admit import Admitted
-from ramppost.gateway.aftermath import after_cut
+from ramppost.gateway.aftermath import handle_broken_response
 from ramppost.gateway.job import Job
 from ramppost.gateway.links import Broken
 from ramppost.gateway.state import Gateway
@@ -81,10 +81,12 @@
 
     async def cut() -> None:
         for upstream in gw.members.usable("lm", clock.now()):
-            await after_cut(gw, job, upstream, Broken("closed", cut=True), JUST_BEGUN)
+            await handle_broken_response(
+                gw, job, upstream, Broken("closed", by_peer=True), JUST_BEGUN
+            )
         await curio.sleep(KNOWN_S)
 
     curio.run(cut)
     assert gw.fatal.is_fatal(job.fingerprint) == case.noted
-    assert job.tries == (0 if case.noted else FATAL_START_ENDS)
+    assert job.counted_attempts == (0 if case.noted else FATAL_START_ENDS)
     assert bool(gw.members.usable("lm", clock.now())) == case.used
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -15,7 +15,7 @@
 from ramppost.audit.run import audit
 from ramppost.errors import Refusal
 from ramppost.gateway.admit import admit
-from ramppost.gateway.attempt import _outgoing
+from ramppost.gateway.attempt import _compose_request
 from ramppost.gateway.evacuations import evacuation_changed, evacuations_listed
 from ramppost.gateway.feed import urgent_kinds_known
 from ramppost.gateway.links import NotSent, OutgoingRequest
@@ -97,9 +97,9 @@
     job = job_of(gw, random.Random(1))
     chosen = pick(gw, job, "lm", "small", clock.now())
     assert chosen is not None and chosen.upstream == KIRKOS_UPSTREAM
-    assert isinstance(_outgoing(gw, job, chosen, "small", None), OutgoingRequest)
+    assert isinstance(_compose_request(gw, job, chosen, "small", None), OutgoingRequest)
     evacuations_listed(gw, Snapshot([evacuation("bole"), evacuation("kirkos", 10)], 10))
-    got = _outgoing(gw, job, chosen, "small", None)
+    got = _compose_request(gw, job, chosen, "small", None)
     assert isinstance(got, NotSent) and got.withheld
 
 
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -21,7 +21,7 @@
 
 from bench.choosing import job_of
 from ramppost import clock
-from ramppost.gateway.attempt import Refused, _note
+from ramppost.gateway.attempt import Refused, _record_outcome
 from ramppost.gateway.peers import apply_gateway_entry
 from ramppost.gateway.pick import pick
 from ramppost.gateway.rollout_duty import _hear_sessions, progress_seen, write_progress
@@ -209,14 +209,14 @@
     before = gw.members.usable("lm", clock.now())[0]
     gw.suspicion_of(before.key).record_outcome(True, clock.now())
     gw.loads.report(before.key, 20, 7, clock.now())
-    gw.links.heard[before.key] = clock.now()
+    gw.links.last_received_at[before.key] = clock.now()
     apply_upstream_change(gw, Change(entry(revision=2, born=2000), False))
     after = gw.members.usable("lm", clock.now())[0]
     assert (after.id, after.key != before.key) == (before.id, True)
     assert gw.suspicion_of(after.key).failure_rate(clock.now()) == 0.0
     assert gw.loads.reported(after.key).waiting == 0
     assert before.key not in gw.suspicions
-    assert before.key not in gw.links.heard
+    assert before.key not in gw.links.last_received_at
 
 
 @pytest.mark.parametrize("born", [999, 1001])
@@ -359,6 +359,6 @@
     chosen = pick(gw, job, "lm", "small", clock.now())
     assert chosen is not None
     refused = Refused(status, 0.0, wrong_upstream=status == 421)
-    _note(gw, job, chosen._replace(upstream=ghost), "small", refused, 0.01)
+    _record_outcome(gw, job, chosen._replace(upstream=ghost), "small", refused, 0.01)
     failing = gw.suspicion_of(ghost.key).failure_rate(clock.now())
     assert (failing > 0) == avoided
--- a/tests/test_gateway_links.py
+++ b/tests/test_gateway_links.py
@@ -11,10 +11,10 @@
 import pytest
 
 from ramppost.gateway.links import (
+    BodyEnd,
     Broken,
-    End,
+    ConnectionPool,
     Exchange,
-    Links,
     NotSent,
     OutgoingRequest,
     open_exchange,
@@ -62,19 +62,19 @@
     return OutgoingRequest("POST" if body else "GET", "/x", head, body, attempt)
 
 
-async def whole(links: Links, addr: str, attempt: str, body: bytes = b"") -> Any:
+async def whole(links: ConnectionPool, addr: str, attempt: str, body: bytes = b"") -> Any:
     """Body of an answer, or the failure."""
     opened = await open_exchange(links, upstream(addr), lambda: request(attempt, body))
     if not isinstance(opened, Exchange):
         return opened
-    head = await opened.head()
+    head = await opened.read_head()
     if isinstance(head, Broken):
         await opened.abort()
         return head
     found = bytearray()
     while True:
-        piece = await opened.piece()
-        if isinstance(piece, End):
+        piece = await opened.read_chunk()
+        if isinstance(piece, BodyEnd):
             await opened.finish()
             return bytes(found)
         if isinstance(piece, Broken):
@@ -87,7 +87,7 @@
     """Answers to requests one after the other over the same links."""
 
     async def played() -> list[Any]:
-        links = Links(HOST)
+        links = ConnectionPool(HOST)
         got = []
         for attempt in attempts:
             got.append(await curio.timeout_after(3, whole(links, addr, attempt, body)))
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -17,8 +17,8 @@
 from ramppost.gateway.freshness import Freshness
 from ramppost.gateway.job import Job
 from ramppost.gateway.model import RolloutOrder
-from ramppost.gateway.pick import look, pick
-from ramppost.gateway.serve import _running
+from ramppost.gateway.pick import pick, query_backlogs
+from ramppost.gateway.serve import _try_upstreams
 from ramppost.gateway.state import Gateway
 from ramppost.gateway.watchers import (
     apply_config_snapshot,
@@ -191,10 +191,10 @@
     assert isinstance(admitted, Admitted)
     job = Job(req, admitted, clock.now())
     for model in ("small", "large", "large"):
-        curio.run(look, gw, job, "lm", model)
+        curio.run(query_backlogs, gw, job, "lm", model)
     assert asked == ["small", "large"]
-    job.tried.add("a")
-    curio.run(look, gw, job, "lm", "large")
+    job.tried_upstreams.add("a")
+    curio.run(query_backlogs, gw, job, "lm", "large")
     assert asked == ["small", "large", "large"], "another try asks again"
 
 
@@ -206,16 +206,16 @@
     async def frozen(gw: Gateway, *_: Any) -> None:
         gw.freshness.bound_s = 0
 
-    monkeypatch.setattr("ramppost.gateway.serve.look", frozen)
+    monkeypatch.setattr("ramppost.gateway.serve.query_backlogs", frozen)
     apply_upstream_snapshot(gw, Snapshot([entry("a")], 6))
     head = ((b"host", SITE.encode()), (names.KEY, KEYS["kitchen"].encode()))
     req = caller_request("POST", STREAM + "x", head, b"")
     admitted = admit(gw, req)
     assert isinstance(admitted, Admitted)
     job = Job(req, admitted, clock.now())
-    got = curio.run(_running, gw, job, "lm", "m", None)
+    got = curio.run(_try_upstreams, gw, job, "lm", "m", None)
     assert isinstance(got, Refusal)
-    assert (got.code, got.ran, job.tried) == ("not_ready", "no", set())
+    assert (got.code, got.ran, job.tried_upstreams) == ("not_ready", "no", set())
 
 
 def stopping(gw: Gateway, back_in_s: float) -> Gateway:
@@ -310,7 +310,7 @@
     assert isinstance(admitted, Admitted)
     job = Job(caller_request("POST", STREAM, (), b""), admitted, clock.now())
     job.failed_versions = failed
-    job.tried = {"new-1"} if failed else set()
+    job.tried_upstreams = {"new-1"} if failed else set()
     found = pick(gw, job, "lm", "", clock.now())
     assert found is not None and found.upstream.id in chosen
 
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -9,10 +9,10 @@
 from ramppost.gateway.model import Route, Target
 from ramppost.gateway.models import (
     ModelPlan,
-    good_enough,
+    adjusted_for_load,
+    is_acceptable,
     model_plan,
     next_model,
-    under_load,
 )
 from ramppost.policy.policydoc import (
     DEFAULT_POLICY,
@@ -36,7 +36,7 @@
     [("s", 90, True), ("s", 20, False), ("s", None, True), ("m", 20, False), ("l", 20, True)],
 )
 def test_when_an_answer_is_taken(model: str, confidence: float | None, taken: bool) -> None:
-    assert good_enough(PLAN, model, confidence) is taken
+    assert is_acceptable(PLAN, model, confidence) is taken
 
 
 @pytest.mark.parametrize(
@@ -137,7 +137,7 @@
     kind: Any, shortage: float, read_s: float, threshold: float
 ) -> None:
     policy = Policy(name="p", kind=kind, models=[], threshold=0.5)
-    assert under_load(policy, shortage, read_s).get("threshold") == pytest.approx(threshold)
+    assert adjusted_for_load(policy, shortage, read_s).get("threshold") == pytest.approx(threshold)
 
 
 def test_engines_are_short_while_requests_wait_and_soon_no_more() -> None:
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -73,7 +73,7 @@
     for upstream in UPSTREAMS:
         gw.members.put(upstream)
     job = job_of(gw, random.Random(1))
-    job.tried = {"i-mekelle@7"}
+    job.tried_upstreams = {"i-mekelle@7"}
     assert candidates(gw, job, "lm", clock.now()) == []
 
 
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -23,7 +23,7 @@
 from ramppost.gateway.feed import _answer
 from ramppost.gateway.follow import Handlers
 from ramppost.gateway.job import Job
-from ramppost.gateway.serve import _running
+from ramppost.gateway.serve import _try_upstreams
 from ramppost.gateway.state import Gateway
 from ramppost.gateway.watchers import apply_upstream_snapshot, watch_kind
 from ramppost.platform import names
@@ -146,7 +146,7 @@
     assert isinstance(admitted, Admitted)
     head = ((b"host", SITE.encode()),)
     job = Job(caller_request("POST", STREAM, head, b""), admitted, clock.now())
-    got = curio.run(_running, gw, job, "lm", "m", None)
+    got = curio.run(_try_upstreams, gw, job, "lm", "m", None)
     assert upstream.got == []
     assert isinstance(got, Refusal)
     assert (got.status, got.ran) == (503, "no")
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -18,7 +18,7 @@
 
 from bench.choosing import HALLS, job_of
 from ramppost import clock
-from ramppost.gateway.attempt import _outgoing
+from ramppost.gateway.attempt import _compose_request
 from ramppost.gateway.evacuations import evacuations_listed
 from ramppost.gateway.links import NotSent, OutgoingRequest
 from ramppost.gateway.model import Upstream
@@ -150,7 +150,7 @@
         gw = rng.choice(fleet)
         job = job_of(gw, rng)
         chosen = pick(gw, job, "lm", "small", now)
-        if chosen and isinstance(_outgoing(gw, job, chosen, "small", None), OutgoingRequest):
+        if chosen and isinstance(_compose_request(gw, job, chosen, "small", None), OutgoingRequest):
             sent.setdefault(chosen.upstream.id, []).append(now)
     return max((sent.get(f"i-{number}", []) for number in range(7)), key=most_within)
 
@@ -176,10 +176,10 @@
 
 def send(gw: Gateway, upstream_id: str) -> OutgoingRequest | NotSent:
     job = job_of(gw, random.Random(1))
-    job.tried = {u.key for u in gw.members.all() if u.id != upstream_id}
+    job.tried_upstreams = {u.key for u in gw.members.all() if u.id != upstream_id}
     chosen = pick(gw, job, "lm", "small", clock.now())
     assert chosen is not None and chosen.upstream.id == upstream_id
-    return _outgoing(gw, job, chosen, "small", None)
+    return _compose_request(gw, job, chosen, "small", None)
 
 
 def ids_of(found: list[Upstream]) -> list[str]:
@@ -195,24 +195,24 @@
 
 def test_limit_is_checked_again_before_sending(single_gateway: Gateway) -> None:
     job = job_of(single_gateway, random.Random(1))
-    job.tried = {"i-0@7"}
+    job.tried_upstreams = {"i-0@7"}
     chosen = pick(single_gateway, job, "lm", "small", clock.now())
     assert chosen is not None
     for _ in range(2):
         assert isinstance(send(single_gateway, "i-1"), OutgoingRequest)
-    got = _outgoing(single_gateway, job, chosen, "small", None)
+    got = _compose_request(single_gateway, job, chosen, "small", None)
     assert isinstance(got, NotSent) and got.withheld
 
 
 def test_wait_time_when_all_upstreams_are_at_their_limit(single_gateway: Gateway) -> None:
     job = job_of(single_gateway, random.Random(1))
-    job.tried = {"i-0@7"}
+    job.tried_upstreams = {"i-0@7"}
     for _ in range(2):
         send(single_gateway, "i-1")
     assert candidates(single_gateway, job, "lm", clock.now()) == []
     wait_s = warmup_wait_s(single_gateway, job, "lm", clock.now())
     assert wait_s is not None and 0 < wait_s <= WINDOW_S
-    job.tried = {"i-0@7", "i-1@7"}
+    job.tried_upstreams = {"i-0@7", "i-1@7"}
     assert warmup_wait_s(single_gateway, job, "lm", clock.now()) is None
 
 
