--- a/ramppost/policy/placement.py
+++ b/ramppost/policy/placement.py
@@ -1,17 +1,17 @@
-"""Which upstream takes a request: the least predicted time to its first byte.
+"""Chooses the upstream with the lowest predicted time to the first byte of a request.
 
-Pure.  For an engine, time is what lies ahead of the first token: what gateways sent there
-before (`ramppost.policy.backlog`), what runs there, and reading that part of the request's
-own prompt that the engine does not keep for the model.  The engine that rendezvous hashing
-names the home of its shared parts goes first among equals, so that gateways agree on a home
-without talking; a hall with engines enough has homes of its own.
+Pure.  For an engine, the prediction is the time to first token: the prompts that gateways sent
+there before (`ramppost.policy.backlog`), the requests that run there, and the prefill of the part
+of the request's prompt that the engine has not cached for the model.  Among equal engines, the home
+of the prompt's shared prefix is preferred.  Homes are assigned by rendezvous hashing, so that
+gateways agree on them without communication; a hall with enough engines has its own homes.
 
-A prompt that takes long to read holds up everything else on its engine, so such prompts
-share one engine of several, which the others avoid a little: gateways agree on it by the
-same hashing.
+A prompt with a long prefill delays all other requests on its engine.  Such prompts therefore share
+a fraction of the engines, which are chosen by the same hashing and have a small penalty for other
+prompts.
 
-A gateway weighs a bounded number of engines, whatever their number (`select_candidates`), and what
-depends on all of them is worked out once for a list of engines (`EnginePool`).
+A gateway evaluates a bounded number of engines, regardless of the pool size (`select_candidates`),
+and computes what depends on the whole pool once for each list of engines (`EnginePool`).
 """
 
 from __future__ import annotations
@@ -24,53 +24,54 @@
 
 from ramppost.policy.routing import hash_fraction
 
-RUNNING_REQUEST_S: Final = 0.003
-"""What a request that runs for others adds, seconds: it slows each step a little."""
-CROSS_HALL_S: Final = 0.005
-"""What the way to another hall adds, there and back, with the price of its bytes."""
-CROSS_HALL_BYTE_S: Final = 10e-6
-"""What a byte to or from another hall costs, seconds: 20 KB are worth waiting 0.2 s for.  Since
-what is ahead of a prompt is known, a wait of tenths of a second makes few answers late, and
-the bytes fell by a third to a half (from 0.053 to 0.032 of worth, where they are dear)."""
+RUNNING_REQUEST_DELAY_S: Final = 0.003
+"""Predicted delay for each running request of other gateways, which slows each decoding step."""
+CROSS_HALL_PENALTY_S: Final = 0.005
+"""Penalty for another hall: the round trip, in addition to the charge for its bytes."""
+CROSS_HALL_BYTE_PENALTY_S: Final = 10e-6
+"""Penalty for each byte to or from another hall: 20 KB are worth a wait of 0.2 s.  Because the
+queue ahead of a prompt is known, waits of tenths of a second make few answers late, and the cost of
+traffic between halls fell by a third to a half (from 0.053 to 0.032 of the score where that traffic
+is expensive)."""
 FAILURE_PENALTY_S: Final = 3.0
-"""What constant failures add: more than any queue, so that only failing upstreams are worse."""
+"""Penalty for a failure rate of 1: longer than any queue, so only failing upstreams rank lower."""
 NOT_HOME_PENALTY_S: Final = 0.1
-"""What speaks for the home of a prompt's shared parts: half of what a large request to another
-hall is charged.  On a fleet of 32 gateways, of which none knows what the others have sent, the
-price of bytes between halls fell by a quarter with a home in each hall."""
+"""Penalty for engines other than the home of a prompt's shared prefix: half of the penalty for a
+large request to another hall.  In a fleet of 32 gateways that don't know each other's requests, the
+cost of traffic between halls fell by a quarter with a home in each hall."""
 REPORT_HALF_LIFE_S: Final = 2.0
 MIN_ENGINES_FOR_HALL_HOMES: Final = 4
-"""Engines that a hall needs for homes of its own: with two, what is kept gives way too soon, and
-the mean of two days with faults fell from 0.705 to 0.689 (four seeds of each)."""
+"""Number of engines from which a hall has its own homes.  With two, cached prefixes are evicted too
+early: the mean score of two days with faults fell from 0.705 to 0.689 (four seeds of each)."""
 SCORE_JITTER: Final = 0.05
-"""Relative noise on scores, so that gateways with the same report don't all agree."""
+"""Relative noise on scores, so that gateways with the same report choose different engines."""
 LONG_PREFILL_S: Final = 1.2
-"""A prompt that takes so long to read is kept apart; the usual one takes a tenth of it."""
+"""Prefill time from which a prompt counts as long; a typical prompt takes a tenth of it."""
 LONG_PROMPT_ENGINE_PENALTY_S: Final = 0.1
-"""What the engine for long prompts is avoided by, as a prompt may be on its way there."""
+"""Penalty for other prompts on an engine for long ones, because one may be on its way there."""
 ENGINES_PER_LONG_PROMPT_ENGINE: Final = 6
 MAX_CANDIDATES: Final = 24
-"""Engines that are weighed for a prompt.  What a gateway knows of the others by itself tells
-little: the best are asked about, and of these a choice of four is as good as one of six."""
+"""Maximum number of engines evaluated for a prompt.  A gateway's own estimates are rough, so it
+queries the keepers of the best engines; choosing among four of these is as good as among six."""
 MAX_LOCAL_CANDIDATES: Final = 16
-"""Those of them that are of the own hall, where there are so many."""
+"""How many of these are in the gateway's own hall, if it has that many."""
 HOME_CACHE_SIZE: Final = 4096
-"""Homes of shared parts that are remembered: some times the subjects of a day."""
+"""Cached homes of shared prefixes: several times the number of topics in a day."""
 INITIAL_RATE_S: Final = 1 / 30000
-"""Seconds to read a prompt token until a model's own rate is known."""
+"""Seconds of prefill for each prompt token until the model's rate is known."""
 RATE_STEP: Final = 0.04
 MIN_RATE_TOKENS: Final = 500
 MIN_RATE_SAMPLES: Final = 5
-"""Answers of a model after which the own rate is better than another gateway's word."""
+"""Number of samples from which a gateway's own rate of a model is preferred to a peer's."""
 
 
 class EngineView(NamedTuple):
-    """What a gateway knows of an engine.
+    """What a gateway knows about an engine.
 
-    `ahead_s` is the predicted time to read what goes before the prompt, `kept_tokens` what the
-    engine keeps of the prompt.  `others_running` is by the engine's last report, and so is
-    `others_waiting`, which is 0 where `ahead_s` counts the prompts of all gateways.  `failure_rate`
-    is 0 for one that answers well, 1 for one that always fails.
+    `ahead_s` is the predicted prefill time of the prompts that are served first, `kept_tokens` the
+    number of prompt tokens in the engine's cache.  `others_running` and `others_waiting` come from
+    the engine's last report; the latter is 0 if `ahead_s` includes the prompts of all gateways.
+    `failure_rate` is 0 if all requests succeed and 1 if all fail.
     """
 
     id: str
@@ -84,28 +85,28 @@
 
 
 class PrefillRates:
-    """Seconds that a model takes to read a prompt token: the median of what was seen.
+    """Prefill seconds per prompt token of each model: a running estimate of the median.
 
-    The first answers move it far, so that a gateway that has just started predicts well after
-    three of them; meanwhile it takes what another has learned (`accept_peer_rate`).
+    The first samples have a large weight, so that a gateway predicts well after three of them.
+    Until then, a newly started gateway uses the rate of a peer (`accept_peer_rate`).
     """
 
     def __init__(self) -> None:
         self._rates: dict[str, float] = {}
         self._sample_counts: dict[str, int] = {}
         self.typical_prefill_s = 0.05
-        """Reading time of a usual request, for those that wait for others."""
+        """Average prefill time of a request, used for waiting requests of other gateways."""
 
     def rate_s(self, model: str) -> float:
-        """Seconds a token."""
+        """Seconds per token."""
         return self._rates.get(model, INITIAL_RATE_S)
 
     def own_rate_s(self, model: str) -> float:
-        """Seconds a token by own answers, 0 where there are too few."""
+        """Seconds per token measured by this gateway; 0 if there are too few samples."""
         return self.rate_s(model) if self._sample_counts.get(model, 0) >= MIN_RATE_SAMPLES else 0.0
 
     def observe(self, model: str, tokens: float, seconds: float) -> None:
-        """A prompt of which so many tokens were not kept had its first token after that.
+        """Record a prefill of `tokens` tokens that were not cached, which took `seconds`.
 
         >>> rates = PrefillRates()
         >>> for _ in range(5): rates.observe("m", 10000, 0.8)
@@ -114,24 +115,24 @@
         """
         if tokens < MIN_RATE_TOKENS:
             return
-        seen = self._sample_counts[model] = self._sample_counts.get(model, 0) + 1
-        step = max(RATE_STEP, 1 / (1 + seen))
+        samples = self._sample_counts[model] = self._sample_counts.get(model, 0) + 1
+        step = max(RATE_STEP, 1 / (1 + samples))
         rate = self.rate_s(model)
         longer = seconds / tokens > rate
         self._rates[model] = rate * (1 + step if longer else 1 / (1 + step))
 
     def accept_peer_rate(self, model: str, rate_s: float) -> None:
-        """Another gateway has learned this rate; taken until there are own answers enough."""
+        """Use a rate measured by another gateway unless this one has enough samples."""
         if rate_s > 0 and self._sample_counts.get(model, 0) < MIN_RATE_SAMPLES:
             self._rates[model] = rate_s
 
     def record_sent(self, seconds: float) -> None:
-        """A request with this predicted reading time was sent."""
+        """Record a sent request with its predicted prefill time."""
         self.typical_prefill_s += RATE_STEP * (seconds - self.typical_prefill_s)
 
 
 class PrefillWork(NamedTuple):
-    """A prompt to be read by a model; `size` is that of request and answer, bytes."""
+    """A prompt for a model; `size` is the total size of the request and its answer in bytes."""
 
     model: str
     parts: tuple[tuple[str, int], ...]
@@ -140,7 +141,7 @@
 
 
 class Placement(NamedTuple):
-    """An engine, the predicted seconds to a first token there, and those of reading alone."""
+    """An engine with the predicted time to first token and the part of it that is prefill."""
 
     id: str
     first_token_s: float
@@ -148,7 +149,7 @@
 
 
 class EnginePool(NamedTuple):
-    """Engines that may take a prompt: their ids, all and by hall, and those for long prompts."""
+    """Ids of the engines that may take a prompt, in total, by hall, and for long prompts."""
 
     ids: tuple[str, ...]
     by_hall: dict[str, tuple[str, ...]]
@@ -156,26 +157,28 @@
 
 
 def build_pool(halls: Mapping[str, str]) -> EnginePool:
-    """A pool of engines, given the hall of each id.
+    """Build a pool from the hall of each engine id.
 
     >>> build_pool({"a": "here", "b": "there"}).by_hall
     {'here': ('a',), 'there': ('b',)}
     """
-    near: dict[str, list[str]] = {}
+    id_lists: dict[str, list[str]] = {}
     for id, hall in halls.items():
-        near.setdefault(hall, []).append(id)
-    by_hall = {hall: tuple(ids) for hall, ids in near.items()}
+        id_lists.setdefault(hall, []).append(id)
+    by_hall = {hall: tuple(ids) for hall, ids in id_lists.items()}
     return EnginePool(tuple(halls), by_hall, long_prompt_engines(tuple(halls)))
 
 
 def home_engine(pool: EnginePool, work: PrefillWork, hall: str) -> str:
-    """The home of a prompt's shared parts: in the hall, where that has engines enough, else one
-    for all halls; empty for a prompt that shares nothing."""
+    """The home of a prompt's shared prefix, or "" if it has none.
+
+    It is in the given hall if that has enough engines, else one home serves all halls.
+    """
     shared = work.parts[:-1]
     if not shared:
         return ""
-    near = pool.by_hall.get(hall, ())
-    ids = near if len(near) >= MIN_ENGINES_FOR_HALL_HOMES else pool.ids
+    local_ids = pool.by_hall.get(hall, ())
+    ids = local_ids if len(local_ids) >= MIN_ENGINES_FOR_HALL_HOMES else pool.ids
     return _hashed_home(ids, work.model, shared[-1][0])
 
 
@@ -185,27 +188,32 @@
 
 
 def select_candidates(pool: EnginePool, hall: str, home: str, rng: random.Random) -> set[str]:
-    """Ids of the engines that are weighed for a prompt: all where they are few, else the home,
-    some of the own hall, and some of any.
+    """Ids of the engines to evaluate for a prompt.
 
-    With all of 600 engines a choice took 22 ms of processor time, fifteen times one of 40.
+    A small pool is evaluated whole; otherwise the home, random engines of the gateway's hall, and
+    random engines of any hall.  Evaluating 600 engines took 22 ms of CPU time for each request,
+    fifteen times as long as 40.
 
     >>> pool = build_pool({f"e{n}": "here" if n % 2 else "there" for n in range(100)})
-    >>> found = select_candidates(pool, "here", "e0", random.Random(1))
-    >>> len(found), "e0" in found, sum(int(id[1:]) % 2 for id in found) >= MAX_LOCAL_CANDIDATES
-    (24, True, True)
+    >>> candidates = select_candidates(pool, "here", "e0", random.Random(1))
+    >>> len(candidates), "e0" in candidates
+    (24, True)
+    >>> sum(int(id[1:]) % 2 for id in candidates) >= MAX_LOCAL_CANDIDATES
+    True
     """
     if len(pool.ids) <= MAX_CANDIDATES:
         return set(pool.ids)
-    near = pool.by_hall.get(hall, ())
-    found = {home} - {""} | set(rng.sample(near, min(MAX_LOCAL_CANDIDATES, len(near))))
-    while len(found) < MAX_CANDIDATES:
-        found.add(rng.choice(pool.ids))
-    return found
+    local_ids = pool.by_hall.get(hall, ())
+    candidates = {home} - {""} | set(
+        rng.sample(local_ids, min(MAX_LOCAL_CANDIDATES, len(local_ids)))
+    )
+    while len(candidates) < MAX_CANDIDATES:
+        candidates.add(rng.choice(pool.ids))
+    return candidates
 
 
 def leading_tokens(parts: tuple[tuple[str, int], ...], count: int) -> int:
-    """Tokens of a prompt's first parts.
+    """Total tokens of a prompt's first `count` parts.
 
     >>> leading_tokens((("aa", 800), ("bb", 400)), 1)
     800
@@ -214,14 +222,13 @@
 
 
 def long_prompt_engines(ids: tuple[str, ...]) -> frozenset[str]:
-    """The engines that long prompts share; none where there are too few."""
+    """The engines for long prompts; empty if the pool is too small."""
     count = len(ids) // ENGINES_PER_LONG_PROMPT_ENGINE
     return frozenset(sorted(ids, key=lambda name: hash_fraction("long", name))[:count])
 
 
 class PlacementContext(NamedTuple):
-    """Where a prompt stands: its gateway's hall, the home of its shared parts, and the engines
-    that long prompts share."""
+    """The gateway's hall, the home of a prompt's shared prefix, and the long prompt engines."""
 
     hall: str
     home: str
@@ -232,50 +239,56 @@
     engines: list[EngineView],
     work: PrefillWork,
     rates: PrefillRates,
-    around: PlacementContext,
+    context: PlacementContext,
     now: float,
     rng: random.Random,
 ) -> list[Placement]:
-    """Engines by predicted time to the first token, best first."""
-    hall, home, long_prompt_ids = around
+    """Rank engines by predicted time to first token plus penalties, best first."""
+    hall, home, long_prompt_ids = context
     rate_s = rates.rate_s(work.model)
 
     def place(engine: EngineView) -> Placement:
         prefill_s = rate_s * max(0, work.tokens_in - engine.kept_tokens)
-        fresh = math.exp2(-max(0.0, now - engine.reported_at) / REPORT_HALF_LIFE_S)
+        report_weight = math.exp2(-max(0.0, now - engine.reported_at) / REPORT_HALF_LIFE_S)
         others_s = (
-            engine.others_running * RUNNING_REQUEST_S
+            engine.others_running * RUNNING_REQUEST_DELAY_S
             + engine.others_waiting * rates.typical_prefill_s
         )
-        return Placement(engine.id, engine.ahead_s + fresh * others_s + prefill_s, prefill_s)
+        return Placement(
+            engine.id, engine.ahead_s + report_weight * others_s + prefill_s, prefill_s
+        )
 
-    by_id = {engine.id: engine for engine in engines}
+    views_by_id = {engine.id: engine for engine in engines}
 
-    def score(placed: Placement) -> float:
-        engine = by_id[placed.id]
+    def score_s(placement: Placement) -> float:
+        engine = views_by_id[placement.id]
         cost_s = (
-            placed.first_token_s
-            + _long_prompt_penalty_s(placed, long_prompt_ids)
+            placement.first_token_s
+            + _long_prompt_penalty_s(placement, long_prompt_ids)
             + engine.failure_rate * FAILURE_PENALTY_S
         )
-        cost_s += 0.0 if engine.hall == hall else CROSS_HALL_S + CROSS_HALL_BYTE_S * work.size
+        cost_s += (
+            0.0
+            if engine.hall == hall
+            else CROSS_HALL_PENALTY_S + CROSS_HALL_BYTE_PENALTY_S * work.size
+        )
         cost_s += 0.0 if engine.id == home else NOT_HOME_PENALTY_S
         return cost_s * rng.uniform(1 - SCORE_JITTER, 1 + SCORE_JITTER)
 
-    return sorted((place(engine) for engine in engines), key=score)
+    return sorted((place(engine) for engine in engines), key=score_s)
 
 
-def _long_prompt_penalty_s(placed: Placement, long_prompt_ids: frozenset[str]) -> float:
-    """What speaks against an engine because long prompts are kept apart, seconds."""
+def _long_prompt_penalty_s(placement: Placement, long_prompt_ids: frozenset[str]) -> float:
+    """Penalty in seconds that separates long prompts from others."""
     if not long_prompt_ids:
         return 0.0
-    if placed.prefill_s > LONG_PREFILL_S:
-        return 0.0 if placed.id in long_prompt_ids else LONG_PREFILL_S
-    return LONG_PROMPT_ENGINE_PENALTY_S if placed.id in long_prompt_ids else 0.0
+    if placement.prefill_s > LONG_PREFILL_S:
+        return 0.0 if placement.id in long_prompt_ids else LONG_PREFILL_S
+    return LONG_PROMPT_ENGINE_PENALTY_S if placement.id in long_prompt_ids else 0.0
 
 
 class PlainUpstreamView(NamedTuple):
-    """What a gateway knows of a plain upstream; `load` is its requests for each slot."""
+    """What a gateway knows about an upstream that is not an engine; `load` is requests per slot."""
 
     id: str
     hall: str
@@ -287,13 +300,15 @@
 def rank_plain_upstreams(
     views: list[PlainUpstreamView], hall: str, rng: random.Random
 ) -> list[str]:
-    """Plain upstreams by predicted time to answer, best first."""
+    """Rank upstreams that are not engines by predicted response time, best first."""
 
-    def score(view: PlainUpstreamView) -> float:
-        away_s = 0.0 if view.hall == hall else CROSS_HALL_S
+    def score_s(view: PlainUpstreamView) -> float:
+        hall_penalty_s = 0.0 if view.hall == hall else CROSS_HALL_PENALTY_S
         expected_s = (
-            view.latency_s * (1 + view.load) + away_s + view.failure_rate * FAILURE_PENALTY_S
+            view.latency_s * (1 + view.load)
+            + hall_penalty_s
+            + view.failure_rate * FAILURE_PENALTY_S
         )
         return expected_s * rng.uniform(1 - SCORE_JITTER, 1 + SCORE_JITTER)
 
-    return [view.id for view in sorted(views, key=score)]
+    return [view.id for view in sorted(views, key=score_s)]
