--- a/ramppost/gateway/feed.py
+++ b/ramppost/gateway/feed.py
@@ -1,10 +1,11 @@
-"""Tells other gateways what changes in the store, so that they need not ask it.
-
-A gateway that asks says how far it knows each kind of objects.  It is answered as soon as
-something changed or was confirmed later, or when its wait is over.  The answer holds the
-latest change of each object since, and how long ago the whole was known to be the newest.
-Any gateway answers; how good its answer is shows by these ages.  Large objects are told by name
-and revision, and loaded by themselves (`ramppost.gateway.loading`).
+"""Serves a feed of the store's changes to other gateways, so that they need not query the store.
+
+A feed request (a long poll) holds the revision that the requester has of each kind of object.  It
+is answered as soon as there is a change or a later confirmation, or when its wait time is over.
+The response holds the latest change of each object since that revision, and how long ago the
+state was known to be the newest.  Every gateway answers; the ages show how fresh its answer is.
+Large objects are announced by name and revision only, and loaded separately
+(`ramppost.gateway.loading`).
 """
 
 from __future__ import annotations
@@ -23,22 +24,22 @@
 
 FEED_PATH: Final = "/x/feed"
 MAX_WAIT_S: Final = 5.0
-"""A call is answered within this, whatever it asks for."""
+"""Upper limit on the wait time that a request may ask for."""
 MIN_CONFIRMATION_GAIN_S: Final = 0.1
-"""A confirmation that is so much younger than the asker's own ends its wait."""
+"""A confirmation newer than the requester's by more than this ends the wait."""
 LARGE_OBJECT_BYTES: Final = 32768
-"""Objects above this are told by name: on a box with 10 Mbit/s, one of 500 KB for ten gateways
-would hold up everything else for seconds."""
+"""Objects above this size are announced by name only: on a box with a 10 Mbit/s link, sending one
+of 500 KB to ten gateways would delay all other traffic for seconds."""
 UNKNOWN_AGE_MS: Final = -1
-"""Stands for an age where there was no confirmation."""
+"""Age on the wire if there was no confirmation."""
 COMPRESSION_MIN_BYTES: Final = 2048
-"""Bytes of an answer that are worth packing: 3,000 entries of upstreams are 0.9 MB, and a tenth of
-it packed."""
+"""Responses from this size on are compressed: 3,000 upstream entries take 0.9 MB, and a tenth of
+that compressed."""
 COMPRESSED_TYPE: Final = "application/zlib"
 
 
 def feed_handler(gw: Gateway) -> Handler:
-    """Answers what other gateways ask at `FEED_PATH`."""
+    """The handler of feed requests at `FEED_PATH`."""
 
     async def handle(req: Request, reply: Reply) -> None:
         query = decode(req.body, FeedQuery)
@@ -55,22 +56,22 @@
 
 
 async def _answer(gw: Gateway, query: FeedQuery) -> FeedMsg:
-    """The answer, once there is something to tell or the wait is over."""
+    """The response, once there is an update or the wait time is over."""
     received_at = clock.now()
     until = received_at + min(MAX_WAIT_S, query["wait_ms"] / 1000)
     while clock.now() < until and not (
-        urgent_kinds_known(gw) and _has_news(gw, query, received_at)
+        urgent_kinds_known(gw) and _has_update(gw, query, received_at)
     ):
         await gw.updates.wait(until - clock.now())
     now = clock.now()
     kinds = [
-        told
+        kind_msg
         for mark in query["kinds"]
         if (replica := gw.replicas.get(mark["kind"])) and replica.revision is not None
-        for told in [_encode_kind(replica, mark["revision"], now)]
-        if replica.urgent or told["full"] or told["changes"]
+        for kind_msg in [_encode_kind(replica, mark["revision"], now)]
+        if replica.urgent or kind_msg["full"] or kind_msg["changes"]
     ]
-    # Rounded so that nothing seems younger than it is.
+    # Times are rounded so that no confirmation seems younger than it is.
     return FeedMsg(
         name=gw.cfg["name"],
         waited_ms=int((now - received_at) * 1000),
@@ -82,18 +83,19 @@
 
 
 def urgent_confirmed_at(gw: Gateway) -> float:
-    """Since when what has to be known at once may have changed unnoticed (steady clock)."""
-    return min((f.confirmed_at for f in gw.replicas.values() if f.urgent), default=float("-inf"))
+    """When the least recently confirmed urgent kind was confirmed (monotonic clock): since then it
+    may have changed unnoticed."""
+    return min((r.confirmed_at for r in gw.replicas.values() if r.urgent), default=float("-inf"))
 
 
 def urgent_kinds_known(gw: Gateway) -> bool:
-    """Whether all that has to be known at once is known here: a gateway that has just started
-    tells nothing until then."""
+    """Whether all urgent kinds are known here; a gateway that has just started announces nothing
+    until then."""
     return gw.evacuations_known and urgent_confirmed_at(gw) > float("-inf")
 
 
-def _has_news(gw: Gateway, query: FeedQuery, received_at: float) -> bool:
-    """Whether there is a change, or a later confirmation of what has to be known at once."""
+def _has_update(gw: Gateway, query: FeedQuery, received_at: float) -> bool:
+    """Whether there is a change, or a later confirmation of an urgent kind."""
     for mark in query["kinds"]:
         replica = gw.replicas.get(mark["kind"])
         if replica is None or (replica.revision or -1) < mark["revision"]:
@@ -109,7 +111,7 @@
 
 
 def _encode_kind(replica: KindReplica, since: int, now: float) -> FeedKind:
-    """What is known of a kind after a revision."""
+    """The feed's part for a kind, with the changes after revision `since`."""
     delta = replica.changes_since(since)
     age_s = now - replica.confirmed_at
     return FeedKind(
--- a/ramppost/gateway/follow.py
+++ b/ramppost/gateway/follow.py
@@ -1,10 +1,10 @@
-"""Keeps up with a kind of objects in the store: list once, then watch.
+"""Replicates a kind of object from the store: list once, then watch.
 
-`follow` runs until cancelled.  It lists again where the history is gone, backs off
-while the store gives no answer, and logs once when the store is lost and once when it
-is back.  While a relay tells what changes (`ramppost.gateway.subscribe`), the store is
-not asked; both ways meet in a `KindReplica`, which takes in nothing older than it has.  Large
-objects are told by name and revision; `ramppost.gateway.loading` reads them.
+`follow` runs until cancelled.  It lists again if the store no longer has the history, backs off
+while the store is unavailable, and logs once when the store is lost and once when it is back.
+While a relay feeds this gateway (`ramppost.gateway.subscribe`), the store is not queried.  Both
+paths update the same `KindReplica`, which ignores data older than its own.  Large objects are
+announced by name and revision only; `ramppost.gateway.loading` reads them.
 """
 
 from __future__ import annotations
@@ -32,20 +32,23 @@
 
 FIRST_BACKOFF_S: Final = 0.1
 MAX_BACKOFF_S: Final = 0.5
-"""Calls to a store that is away are paid for too, and it has to be noticed soon when back."""
+"""Calls to an unavailable store are billed too, and its return must be noticed soon."""
 START_FALLBACK_DELAY_S: Final = 1.0
-"""How much longer a start waits to be told what need not be known at once."""
+"""Upper limit on the fallback delay of a kind that has not been listed yet, so that startup does
+not wait longer for a feed."""
 SHORT_WATCH_TIMEOUT_S: Final = 0.005
-"""Wait of a watch where the last confirmation is old: its answer is awaited, not the news."""
+"""Watch timeout if the last confirmation is stale: then the response itself is what is needed,
+not a change."""
 MAX_CHANGE_LOG: Final = 4096
-"""Objects whose latest change is kept for gateways that ask: more than change within the time
-that one may go unanswered.  A gateway that asks further back is told everything."""
+"""Objects whose latest change is kept for other gateways' feed requests: more than change within
+the time for which a request may go unanswered.  A gateway that asks for changes since an earlier
+revision gets a full snapshot."""
 
 
 class Handlers(NamedTuple):
-    """What is done with what comes: the whole list, a change, and each confirmation.
+    """Callbacks for a full snapshot, for a change, and for each confirmation.
 
-    `on_confirmed` gets the time (steady clock) at which the state was known to be the newest.
+    `on_confirmed` gets the time (monotonic clock) at which the state was known to be the newest.
     """
 
     on_snapshot: Callable[[Snapshot], None]
@@ -54,17 +57,17 @@
 
 
 class Delta(NamedTuple):
-    """What another gateway is told of a kind: everything (`full`), or what changed."""
+    """An update of a kind for another gateway: a full snapshot (`full`), or the changes only."""
 
     full: bool
     changes: list[Change]
 
 
 class PendingObject(NamedTuple):
-    """An object that is known by name and revision only.
+    """An object known by name and revision only, to be loaded.
 
-    `source` is the gateway that told of it, `since` when the first such revision was told of
-    (steady clock).
+    `source` is the gateway that announced it, `since` the time (monotonic clock) of the first
+    announcement of a revision that has not been loaded.
     """
 
     revision: int
@@ -73,26 +76,26 @@
 
 
 class UpdateNotifier:
-    """Wakes all who wait for anything new of any kind."""
+    """Wakes all tasks that wait for an update of any kind."""
 
     def __init__(self) -> None:
         self._event = curio.Event()
 
     async def notify(self) -> None:
-        """Something is new."""
+        """Wake all waiting tasks."""
         event, self._event = self._event, curio.Event()
         await event.set()
 
     async def wait(self, timeout_s: float) -> None:
-        """Return at the next news, or after so long."""
+        """Return at the next update or after the timeout."""
         await curio.ignore_after(timeout_s, self._event.wait)
 
 
 class KindReplica:
-    """How far a kind of objects is known here, and its latest changes for those who ask.
+    """Local replica of a kind of object, with its latest changes for other gateways.
 
-    `urgent` tells that other gateways have to know its state within a bound, so that a later
-    confirmation is news, too.
+    `urgent` means that gateways must know the state of the kind within a time bound, so that a
+    later confirmation alone is worth propagating.
     """
 
     def __init__(
@@ -101,15 +104,15 @@
         self.kind = kind
         self.urgent = urgent
         self.revision: int | None = None
-        """The store's revision that is known here; None where it has to be listed."""
+        """The store revision of this replica; None if the kind has to be listed."""
         self.confirmed_at = float("-inf")
-        """When that was known to be the newest (steady clock)."""
+        """When that revision was known to be the newest (monotonic clock)."""
         self.awaiting_response = False
-        """Whether the store's answer has begun, or was whole so late that what it confirms is old
-        already: a later confirmation is on its way."""
+        """Whether the store's response has begun, or was complete so late that its confirmation is
+        already stale; in both cases a later confirmation is about to arrive."""
         self.pending: dict[str, PendingObject] = {}
-        """What of that is known by name and revision only.  Meanwhile nothing is confirmed to
-        the handlers: what they put in force is not the newest."""
+        """Objects known by name and revision only.  While there are any, confirmations are not
+        passed to the handlers, since the state they have applied is not the newest."""
         self._notifier = notifier
         self._handlers = handlers
         self._objects: dict[str, StoredObject] = {}
@@ -118,11 +121,11 @@
         self._change_log_start = 0
 
     def response_started(self) -> None:
-        """What the store answers is on its way."""
+        """The store has begun to send its response."""
         self.awaiting_response = True
 
     async def apply_snapshot(self, snapshot: Snapshot, at: float, source: str = "") -> None:
-        """Everything was listed, as it stood at a time or later."""
+        """Apply a full snapshot of the state at time `at` or later."""
         if self.revision is not None and snapshot.revision < self.revision:
             return
         objects = [self._newest_known(obj) for obj in snapshot.objects]
@@ -141,7 +144,7 @@
     async def apply_changes(
         self, since: int, changes: Changes, at: float, source: str = ""
     ) -> None:
-        """These changed after `since`; at a time, nothing else had."""
+        """Apply all changes between revision `since` and time `at`."""
         if self.revision != since or changes.revision < since:
             return
         for change in changes.changes:
@@ -150,9 +153,9 @@
         await self._confirm(at)
 
     async def apply_object(self, obj: StoredObject) -> None:
-        """An object that was lacking has been read by itself.
+        """Apply an object that was pending and has been loaded.
 
-        An older one than was told of is put in force meanwhile, and the other stays lacking.
+        An older revision than the announced one is applied as well, but the object stays pending.
         """
         held = self._objects.get(obj.name)
         if held is None or (held.whole and held.revision >= obj.revision):
@@ -164,12 +167,12 @@
         await self._confirm(self.confirmed_at)
 
     def complete_object(self, name: str) -> StoredObject | None:
-        """An object with all that it holds; None where it is not here."""
+        """An object with its full contents; None if they are not here."""
         obj = self._objects.get(name)
         return obj if obj is not None and obj.whole else None
 
     def changes_since(self, revision: int) -> Delta:
-        """What somebody who knows up to a revision has to be told."""
+        """The update for a gateway whose replica is at `revision`."""
         if revision < self._change_log_start:
             return Delta(True, [Change(obj, False) for obj in self._objects.values()])
         found = []
@@ -180,14 +183,14 @@
         return Delta(False, found[::-1])
 
     def size_of(self, name: str) -> int:
-        """Bytes of an object's spec as JSON; 0 where it is not there."""
+        """Size of an object's spec as JSON in bytes; 0 for an unknown object."""
         if name not in self._sizes:
             obj = self._objects.get(name)
             self._sizes[name] = len(encode(obj.spec)) if obj is not None else 0
         return self._sizes[name]
 
     def _newest_known(self, obj: StoredObject) -> StoredObject:
-        """The object as it is held here where that is as new and has more."""
+        """The local copy if it is complete, `obj` is not, and it is at least as new; else `obj`."""
         held = self.complete_object(obj.name)
         if obj.whole or held is None or held.revision < obj.revision:
             return obj
@@ -207,7 +210,7 @@
         self.pending[obj.name] = PendingObject(obj.revision, source, since)
 
     def _replace_pending(self, obj: StoredObject) -> None:
-        """Put a whole object where it was known by name."""
+        """Replace an object known by name only with the complete one."""
         self._objects[obj.name] = obj
         self.pending.pop(obj.name, None)
         self._sizes.pop(obj.name, None)
@@ -235,13 +238,13 @@
 
 
 class FollowConfig(NamedTuple):
-    """How a kind is followed.
+    """How a kind is replicated.
 
-    `wait_s` is how long a watch waits, `pause_s` what is waited between two, so that changes
-    that come together cost one call.  `feed_valid_until` gives the time (steady clock) up to which
-    others keep us up to date; the store is asked `fallback_delay_s` after that.  One that
-    `probes_store` goes on calling a store that does not answer; the others
-    wait until it is answered.
+    `watch_timeout_s` limits the duration of a watch; `pause_s` is the delay between two watches,
+    so that changes close together cost one call.  `feed_valid_until` returns the time (monotonic
+    clock) until which another gateway keeps this one up to date; the store is queried
+    `fallback_delay_s` after that.  A kind with `probes_store` keeps calling an unavailable store;
+    the others wait until one of its calls is answered.
     """
 
     replica: KindReplica
@@ -253,19 +256,19 @@
 
 
 class StoreOutage:
-    """Whether the store answers, and since when it does not (steady clock)."""
+    """Since when the store has been unavailable (monotonic clock), if it is."""
 
     def __init__(self) -> None:
         self.failing_since: float | None = None
 
     def call_failed(self, kind: str, reason: str) -> None:
-        """A call had no usable answer."""
+        """Record a call without a usable response."""
         if self.failing_since is None:
             self.failing_since = clock.now()
             logger.warning("store lost: {}", reason, kind=kind)
 
     def call_answered(self, kind: str) -> None:
-        """A call was answered."""
+        """Record an answered call, which ends an outage."""
         if self.failing_since is None:
             return
         outage_s = clock.now() - self.failing_since
@@ -274,7 +277,7 @@
 
 
 async def follow(client: StoreClient, config: FollowConfig, outage: StoreOutage) -> None:
-    """List, watch, and list again where that is needed."""
+    """List a kind, then watch it; list again if needed."""
     replica = config.replica
     backoff_s = FIRST_BACKOFF_S
     while True:
@@ -293,7 +296,7 @@
 
 
 async def _ask_store(client: StoreClient, config: FollowConfig) -> Unavailable | None:
-    """One call to the store, and what follows from its answer; gives why there was none."""
+    """Call the store once and apply the response; returns the failure if there was none."""
     replica = config.replica
     since = replica.revision
     sent_at = clock.now()
@@ -310,7 +313,7 @@
     if isinstance(got, Unavailable):
         return got
     if isinstance(got, HistoryGone):
-        logger.info("history gone before revision {}; listing again", since)
+        logger.info("the store no longer has the changes since revision {}; listing again", since)
         replica.revision = None
         return None
     await replica.apply_changes(since, got, sent_at)
@@ -319,10 +322,10 @@
 
 
 def _watch_timeout_s(config: FollowConfig, now: float) -> float:
-    """How long a watch waits.
+    """Timeout of the next watch.
 
-    What has to be known at once is confirmed at once where that was long ago: a gateway that
-    has lost its relay, or the store for a while, is of no use to callers until then.
+    It is short if the last confirmation of an urgent kind is stale: a gateway that has lost its
+    relay, or the store for a while, can't serve callers until the next confirmation.
     """
     return (
         min(SHORT_WATCH_TIMEOUT_S, config.watch_timeout_s)
@@ -332,13 +335,13 @@
 
 
 def _is_confirmation_old(config: FollowConfig, now: float) -> bool:
-    """Whether what has to be known at once was confirmed longer ago than usual."""
+    """Whether an urgent kind was last confirmed longer ago than in normal operation."""
     age_s = now - config.replica.confirmed_at
     return config.replica.urgent and age_s > 2 * config.watch_timeout_s + config.pause_s
 
 
 async def _wait_while_fed(config: FollowConfig) -> None:
-    """Wait while others keep us up to date, and `fallback_delay_s` longer, less at the start."""
+    """Wait while the feed is valid and `fallback_delay_s` longer; less before the first list."""
     while True:
         fallback_delay_s = config.fallback_delay_s
         if config.replica.revision is None:
@@ -350,6 +353,6 @@
 
 
 async def _wait_for_outage_end(config: FollowConfig, outage: StoreOutage) -> None:
-    """Wait until the store has answered somebody, or a relay helps."""
+    """Wait until the store has answered another call, or a feed is valid again."""
     while outage.failing_since is not None and config.feed_valid_until() < clock.now():
         await curio.sleep(FIRST_BACKOFF_S)
--- a/ramppost/gateway/loading.py
+++ b/ramppost/gateway/loading.py
@@ -1,9 +1,9 @@
-"""Loads large objects that another gateway told of by name and revision only.
+"""Loads large objects that another gateway announced by name and revision only.
 
-They are loaded apart from the feed, so that what else it tells is not held up, and one at a
-time, so that a thin link carries each once.  Whoever told of an object is asked for a copy;
-where that does not help, the store, and then any other gateway.  An object that changes again
-meanwhile is taken in as it came, and loaded once more.
+They are loaded separately from the feed, so that they don't delay its other changes, and one at a
+time, so that a slow link carries each once.  The gateway that announced an object is asked for a
+copy; if that fails, the store, and then any other gateway.  An object that changes again meanwhile
+is applied as loaded, and then loaded once more.
 """
 
 from __future__ import annotations
@@ -24,26 +24,26 @@
 from ramppost.wire.codec import BadMessage
 
 COPY_TIMEOUT_S: Final = 0.5
-"""Until a gateway's answer begins: one that is busy sending to others is passed over."""
+"""Timeout until a gateway's response begins; one that is busy sending to others is skipped."""
 IDLE_POLL_S: Final = 5.0
-"""How long to wait for news before looking again all the same."""
+"""How long to wait for an update before checking again without one."""
 
 
 class LoadFailed(NamedTuple):
-    """Why a source did not give an object."""
+    """Why a source did not return an object."""
 
     reason: str
 
 
 class ObjectSource(NamedTuple):
-    """Where an object may be had: a name for the log, and how to ask."""
+    """A source of an object: its name for the log, and a function that requests the object."""
 
     name: str
-    ask: Callable[[], Awaitable[StoredObject | LoadFailed]]
+    load: Callable[[], Awaitable[StoredObject | LoadFailed]]
 
 
 class LoadTask(NamedTuple):
-    """An object to load: its kind, its name and what is known of it."""
+    """An object to load: the replica of its kind, its name and its announced revision."""
 
     replica: KindReplica
     name: str
@@ -51,7 +51,7 @@
 
 
 async def load_pending(gw: Gateway) -> None:
-    """Load whatever is lacking, until cancelled."""
+    """Load all pending objects, until cancelled."""
     backoff_s = FIRST_BACKOFF_S
     while True:
         tasks = _load_tasks(gw)
@@ -75,10 +75,10 @@
 
 
 async def load_object(gw: Gateway, task: LoadTask) -> bool:
-    """Ask one source after the other; whether one of them gave the object."""
+    """Try the sources in order; returns whether one of them returned the object."""
     for source in _sources(gw, task):
-        began = clock.now()
-        got = await source.ask()
+        started_at = clock.now()
+        got = await source.load()
         now = clock.now()
         result = "failed" if isinstance(got, LoadFailed) else "loaded"
         gw.metrics.count("ramppost_large_objects_total", result=result)
@@ -89,7 +89,7 @@
             name=task.name,
             revision=task.pending.revision,
             source=source.name,
-            took_s=round(now - began, 3),
+            took_s=round(now - started_at, 3),
             lacking_s=round(now - task.pending.since, 3),
         )
         if isinstance(got, StoredObject):
@@ -99,10 +99,10 @@
 
 
 def _sources(gw: Gateway, task: LoadTask) -> list[ObjectSource]:
-    """Whom to ask, in order: a store that is failing comes last.
+    """The sources in the order in which they are tried; an unavailable store comes last.
 
-    Whoever told of the object is asked even where it lags behind the store: it has the object,
-    and reading that from the store took 2.2 s of a link of 0.5 MB/s.
+    The gateway that announced the object is tried even if it lags behind the store: it has the
+    object, and reading that from the store took 2.2 s of a link of 0.5 MB/s.
     """
     origin = task.pending.source
     others = [name for name in gw.peers.alive(clock.now()) if name != origin]
@@ -119,7 +119,7 @@
 
 
 async def _read_from_peer(gw: Gateway, task: LoadTask, peer: str) -> StoredObject | LoadFailed:
-    """Another gateway's copy, if that is as new as what was told of."""
+    """Request another gateway's copy, if that is at least as new as the announced revision."""
     query = {
         "kind": task.replica.kind,
         "name": task.name,
@@ -137,7 +137,7 @@
 
 
 async def _read_from_store(gw: Gateway, task: LoadTask) -> StoredObject | LoadFailed:
-    """The object as it stands in the store now."""
+    """Read the object's current revision from the store."""
     got = await read(gw.store, task.replica.kind, task.name)
     if isinstance(got, Unavailable):
         return LoadFailed(got.reason)
--- a/ramppost/gateway/state.py
+++ b/ramppost/gateway/state.py
@@ -1,4 +1,4 @@
-"""Everything a gateway knows and counts.  One object, made at its start."""
+"""State of a gateway process: one object, created at startup and passed to all its tasks."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
 
 
 def _withdrawal_bound_s(cfg: GatewaySettings) -> float:
-    """Seconds after which a key that was taken away must not start work."""
+    """Seconds after its withdrawal within which a key must stop starting work."""
     return cfg["timing"]["withdrawal_ms"] / 1000
 
 
 def _serves_unconfirmed(cfg: GatewaySettings) -> bool:
-    """Whether the last known keys work on while the store is away."""
+    """Whether the last known keys stay valid while the store is unavailable."""
     return cfg["timing"].get("unconfirmed_keys") == "serve"
 
 
@@ -52,27 +52,27 @@
 
 
 class Gateway:
-    """State of a gateway.  Times are on the steady clock, in seconds."""
+    """State of a gateway.  Times are in seconds of the monotonic clock."""
 
     def __init__(self, cfg: GatewaySettings) -> None:
         self.cfg = cfg
         self.rng = random.Random()
         self.table: RoutingTable | None = None
         self.config_revision_seen = 0
-        """Revision of the newest configuration seen, understood or not."""
+        """Revision of the newest configuration received, valid or not."""
         self.peers = Peers(cfg["name"], cfg.get("link_mbps", 0.0), cfg["hall"])
         self.warmups = WarmUps(self.peers)
         self.peers_reachable = False
-        """Whether another answered when last asked, fresh or not."""
+        """Whether the last feed request to another gateway was answered, with fresh data or not."""
         self.updates = UpdateNotifier()
         self.replicas: dict[str, KindReplica] = {}
-        """What is known of each kind of objects in the store."""
+        """The local replica of each kind of object in the store."""
         self.feed_valid_until = float("-inf")
-        """Up to when another gateway keeps us up to date (steady clock)."""
+        """Until when another gateway is expected to keep this one up to date (monotonic clock)."""
         self.members = Members()
         self.members_listed = False
         self.evacuated_halls: dict[str, float] = {}
-        """Evacuated data halls and when this gateway learned of each evacuation (steady clock)."""
+        """Evacuated data halls and when this gateway learned of it (monotonic clock)."""
         self.evacuations_known = cfg["timing"].get("evacuate_ms", 0) <= 0
         """Whether evacuations have been listed; always true if the settings disable them."""
         self.unreadable = Unreadable()
@@ -100,24 +100,25 @@
         self.counts = Counts()
         self.policies = Policies()
         self.draining = False
-        """A planned stop has begun: not ready, and each answer closes its connection."""
+        """Whether a planned stop has begun: not ready, and each response closes its connection."""
         self.resume_at = float("inf")
-        """When this gateway takes callers again after a planned stop."""
+        """When this gateway accepts callers again after a planned stop."""
         self.refusal_scope: RefusalScope = "none"
-        """What a planned stop refuses as not run."""
+        """Which new requests a planned stop refuses as not run."""
 
     @property
     def limits(self) -> CallerLimits:
-        """Limits on what callers send, those in force."""
+        """The limits in force on what callers send."""
         return self.table.limits if self.table is not None else DEFAULT_LIMITS
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send callers here.
+        """Whether the load balancer should send callers here.
 
-        With an old confirmation that is so only where other gateways answer and have no
-        newer one: then none is better off.  One that was told of a newer configuration and
-        has not had it for as long as it may take to be in force is worse off than they.
+        With a stale confirmation the gateway is ready only if other gateways answer and have no
+        newer one, since then no gateway is in a better state.  A gateway that was notified of a
+        newer configuration and has not received it within the time in which a configuration must
+        be in force is not ready, because the others are in a better state.
         """
         now = clock.now()
         known = self.table is not None and self.members_listed and self.evacuations_known
@@ -126,7 +127,7 @@
 
     @property
     def config_revision_known(self) -> int:
-        """Revision of the newest configuration that is known to exist, had or not."""
+        """Revision of the newest configuration known to exist, received or not."""
         pending = self._pending_config()
         return max(self.config_revision_seen, pending.revision if pending is not None else 0)
 
@@ -140,7 +141,7 @@
         return replica.pending.get(names.CONFIG_NAME) if replica is not None else None
 
     def reconfigure(self, cfg: GatewaySettings) -> None:
-        """Take in changed settings; addresses it listens on stay until the next start."""
+        """Apply changed settings; the listen addresses stay the same until the next start."""
         self.cfg = cfg
         self.store.addr = cfg["store"]["addr"]
         self.freshness.bound_s = _withdrawal_bound_s(cfg)
@@ -149,11 +150,11 @@
         self.retry_budgets.clear()
 
     def suspicion_of(self, upstream_key: str) -> Suspicion:
-        """What speaks against an upstream."""
+        """The failure evidence against an upstream."""
         return self.suspicions.setdefault(upstream_key, Suspicion())
 
     def retry_budget_of(self, service: str) -> WindowBudget:
-        """This gateway's part of a service's retry budget."""
+        """This gateway's share of a service's retry budget."""
         retries = self.cfg["retries"]
         found = self.retry_budgets.get(service)
         if found is None:
@@ -163,13 +164,13 @@
         return found
 
     def assume_warming_up(self, upstream: Upstream, now: float) -> None:
-        """Treat an upstream as warming up before its entry reports it."""
+        """Treat an upstream as warming up before its entry reports that it is."""
         service = self.table.services.get(upstream.service) if self.table is not None else None
         if service is not None:
             self.warmups.assume_warming_up(upstream, service.warmup_s, now)
 
     def forget(self, upstream_key: str) -> None:
-        """Drop what is known of an upstream that has left or started again."""
+        """Drop the state kept for an upstream that has left or restarted."""
         self.links.drop_upstream(upstream_key)
         self.endings.forget(upstream_key)
         self.backlogs.forget(upstream_key)
--- a/ramppost/gateway/subscribe.py
+++ b/ramppost/gateway/subscribe.py
@@ -1,10 +1,10 @@
-"""Follows a relay: asks it for what changed in the store, again and again.
+"""Polls a relay's feed of the store's changes.
 
-The age that a relay tells, with the time it held the question, dates its confirmation on
-our own steady clock: it is never taken for younger than it is.  While a relay keeps up with
-the store, `Gateway.fed_until` moves on and the store is not asked.  Where it does not, others
-are asked, and meanwhile the store itself.  A relay that lost the store asks others, too, and
-goes on asking the store.
+The age in a relay's response and the time for which the relay held the request date its
+confirmation on the local monotonic clock, so it is never taken for younger than it is.  While a
+relay keeps up with the store, `Gateway.feed_valid_until` advances and the store is not queried.
+If the relay falls behind, other gateways are polled, and meanwhile the store itself is queried.
+A relay that lost the store polls other gateways too, and keeps querying the store.
 """
 
 from __future__ import annotations
@@ -33,28 +33,28 @@
 from ramppost.wire.packing import unpack
 
 ANSWER_SLACK_S: Final = 0.2
-"""How late an answer may begin after its wait: many times the way there and back."""
+"""How late after its wait time a response may begin: many round-trip times."""
 FEED_GRACE_S: Final = 0.05
-"""How much longer a gateway counts as fed than the next question may take: one that ends in
-silence has dropped the idle connections by then, and the store is asked on a new one."""
+"""How much longer a feed stays valid than the next request may take.  A request without a response
+has closed the idle connections by then, so the store is queried over a new one."""
 START_WAIT_S: Final = 0.3
-"""Wait of a gateway's first questions: whoever knows everything tells it at once, and one that
-has just started itself may be the wrong one to wait for."""
+"""Wait time of a gateway's requests during its startup: a gateway that knows everything answers
+at once, and one that has just started itself is not worth a longer wait."""
 WAIT_ROUNDING_S: Final = 0.002
-"""Waits are told in whole milliseconds, rounded down."""
+"""Responses give the wait time in whole milliseconds, rounded down."""
 MAX_REFUSAL_TIME_S: Final = 0.1
-"""A connection that fails so soon was refused: the box is there, and its process is not."""
+"""A connection that fails within this was refused: the box is up, its process is not."""
 IDLE_POLL_S: Final = 0.25
-"""How often a gateway that has nobody to follow looks again."""
+"""Poll interval of a gateway that has no other gateway to follow, or needs none."""
 POLL_PAUSE_S: Final = 0.03
-"""Kept between two questions, so that changes that come together cost one, and so that whatever
-is told again for nothing can't fill a link."""
+"""Delay between two requests, so that changes close together cost one request, and so that
+needlessly repeated responses can't saturate a link."""
 FAILURE_BACKOFF_S: Final = 0.1
-"""Kept between calls that did not help, so that they can't follow each other at once."""
+"""Delay after a request that did not help, so that failures can't cause a busy loop."""
 
 
 async def subscribe(gw: Gateway) -> None:
-    """Follow whoever helps, until cancelled."""
+    """Poll a gateway that keeps up with the store, until cancelled."""
     name, helped = "", False
     while True:
         now = clock.now()
@@ -63,7 +63,7 @@
             await curio.sleep(IDLE_POLL_S)
             continue
         if _waits_for_feed(gw, now):
-            # Any other may have just started, too; those who tell are told first.
+            # Any other gateway may have just started too; those that feed others are fed first.
             name = ""
         name = gw.peers.choose_source(name, helped, now, gw.rng)
         if not name:
@@ -74,14 +74,17 @@
 
 
 def needs_feed(gw: Gateway, now: float) -> bool:
-    """Whether to ask others: unless this gateway is a relay that keeps up with the store."""
+    """Whether to poll others: yes unless this gateway is a relay that keeps up with the store."""
     behind = gw.store_outage.failing_since is not None or gw.freshness.age(now) > stale_after_s(gw)
     return behind or not gw.peers.is_relay(now)
 
 
 class _Query(NamedTuple):
-    """A question to a gateway: when it was sent (steady clock), how long its answer may be held,
-    seconds, and whether nothing that must be known at once is known here yet."""
+    """A feed request to a gateway.
+
+    `sent_at` is on the monotonic clock, `wait_s` limits how long the response may be held, and
+    `starting` means that the urgent kinds are not all known here yet.
+    """
 
     name: str
     sent_at: float
@@ -90,7 +93,7 @@
 
 
 async def poll_once(gw: Gateway, name: str) -> bool:
-    """Ask a gateway once; whether it keeps up with the store, or reads what it has answered."""
+    """Poll a gateway once; true if it keeps up with the store or is just receiving its response."""
     starting = not urgent_kinds_known(gw)
     wait_s = START_WAIT_S if starting else feed_wait_s(gw)
     query = _Query(name, clock.now(), wait_s, starting)
@@ -108,7 +111,8 @@
         return _handle_behind(gw, query, msg)
     now = clock.now()
     if not gw.peers.is_relay(now) and urgent_confirmed_at(gw) > known_at:
-        # A relay that is cut off tells what it has heard from us: that confirms nothing.
+        # A relay that is cut off may return what it has got from this gateway, which confirms
+        # nothing.
         gw.feed_valid_until = now + feed_wait_s(gw) + ANSWER_SLACK_S + FEED_GRACE_S
     return True
 
@@ -123,10 +127,10 @@
 
 
 def _handle_no_answer(gw: Gateway, query: _Query, not_sent: bool) -> None:
-    """A gateway has not answered: ask others for a while, and on new connections.
+    """Skip a gateway that has not answered for a while, and use new connections.
 
-    A start that may still be told goes on asking those who tell: where all start at once they
-    are busy first of all.
+    A starting gateway that still waits for a feed skips none: if all start at once, those that
+    feed others are the busiest.
     """
     now = clock.now()
     refused = not_sent and now - query.sent_at < MAX_REFUSAL_TIME_S
@@ -134,24 +138,24 @@
         gw.peers.record_call(
             query.name, False, now, REFUSED_SKIP_S if refused else UNREACHABLE_SKIP_S
         )
-    # Idle connections to the store and to others may be as silent as this one.
+    # Idle connections to the store and to other gateways may be dead as well.
     gw.store.pool.drop_all()
 
 
 async def _apply_feed(gw: Gateway, query: _Query, msg: FeedMsg) -> None:
-    for told in msg["kinds"]:
-        if told["kind"] in gw.replicas:
-            await _apply_kind(gw, told, query.sent_at + msg["waited_ms"] / 1000, query.name)
+    for kind_msg in msg["kinds"]:
+        if kind_msg["kind"] in gw.replicas:
+            await _apply_kind(gw, kind_msg, query.sent_at + msg["waited_ms"] / 1000, query.name)
 
 
 def _is_behind(gw: Gateway, query: _Query, msg: FeedMsg) -> bool:
-    """Whether who has answered does not keep up with the store."""
+    """Whether the gateway that has answered does not keep up with the store."""
     waited_s = msg["waited_ms"] / 1000
     return waited_s >= query.wait_s - WAIT_ROUNDING_S or _urgent_age_s(gw, msg) > stale_after_s(gw)
 
 
 def _handle_behind(gw: Gateway, query: _Query, msg: FeedMsg) -> bool:
-    """A gateway lags: whether it is asked again, for its store answers; else others are asked."""
+    """Handle a gateway that lags behind the store; true if it should be polled again."""
     reading = msg.get("reading", False)
     logger.info(
         "gateway lags behind the store",
@@ -161,13 +165,14 @@
     )
     now = clock.now()
     if reading:
-        # It has the newest as soon as that is whole, and tells it over another link: passed over,
-        # its followers had a configuration one transfer of a thin link later, 1.4 s.
+        # It is receiving the newest state and can send it on over another link.  When such
+        # relays were skipped, their followers got a configuration later by one transfer over a
+        # slow link, 1.4 s.
         return True
     if gw.store_outage.failing_since is None and not gw.peers.is_relay(now) and not query.starting:
-        # The store is better off with others: let the next in rank be a relay instead.
-        # A relay that asks is cut off itself and may not have noticed; who followed it
-        # lags as it does, and is the one to ask in a moment.
+        # The store answers other gateways, so let the next one in rank become a relay instead.
+        # A relay that polls others is cut off itself and may not have noticed.  Its followers lag
+        # as it does, but will soon be the ones to poll, so they must not be skipped.
         gw.peers.record_call(query.name, False, now)
     return False
 
@@ -180,14 +185,14 @@
 
 
 def _waits_for_feed(gw: Gateway, now: float) -> bool:
-    """Whether this gateway has just started, and waits to be told before it asks the store."""
+    """Whether this gateway is starting and still waits for a feed before it queries the store."""
     return not urgent_kinds_known(gw) and now < gw.feed_valid_until
 
 
 def _urgent_age_s(gw: Gateway, msg: FeedMsg) -> float:
-    """The oldest confirmation of what has to be known at once; infinite where one lacks."""
-    ages_ms = {told["kind"]: told["age_ms"] for told in msg["kinds"]}
-    urgent = [ages_ms.get(kind, UNKNOWN_AGE_MS) for kind, f in gw.replicas.items() if f.urgent]
+    """Highest age of an urgent kind's confirmation in a response; infinite if one is missing."""
+    ages_ms = {kind_msg["kind"]: kind_msg["age_ms"] for kind_msg in msg["kinds"]}
+    urgent = [ages_ms.get(kind, UNKNOWN_AGE_MS) for kind, r in gw.replicas.items() if r.urgent]
     return max(age_ms / 1000 if age_ms >= 0 else float("inf") for age_ms in urgent)
 
 
@@ -201,17 +206,19 @@
     )
 
 
-async def _apply_kind(gw: Gateway, told: FeedKind, answered_at: float, source: str) -> None:
-    """Take in what was told of a kind; `answered_at` is no later than when it was told."""
-    replica = gw.replicas[told["kind"]]
-    # What was never confirmed there is taken in, and confirms nothing here.
-    at = answered_at - told["age_ms"] / 1000 if told["age_ms"] >= 0 else float("-inf")
-    changes = [_decode_change(item) for item in told["changes"]]
-    if told["full"]:
+async def _apply_kind(gw: Gateway, kind_msg: FeedKind, answered_at: float, source: str) -> None:
+    """Apply a kind's part of a response; `answered_at` is no later than when it was sent."""
+    replica = gw.replicas[kind_msg["kind"]]
+    # Data that was never confirmed there is applied, but confirms nothing here.
+    at = answered_at - kind_msg["age_ms"] / 1000 if kind_msg["age_ms"] >= 0 else float("-inf")
+    changes = [_decode_change(item) for item in kind_msg["changes"]]
+    if kind_msg["full"]:
         objects = [change.obj for change in changes]
-        await replica.apply_snapshot(Snapshot(objects, told["revision"]), at, source)
+        await replica.apply_snapshot(Snapshot(objects, kind_msg["revision"]), at, source)
     else:
-        await replica.apply_changes(told["since"], Changes(changes, told["revision"]), at, source)
+        await replica.apply_changes(
+            kind_msg["since"], Changes(changes, kind_msg["revision"]), at, source
+        )
 
 
 def _decode_change(item: FeedChange) -> Change:
--- a/ramppost/gateway/watchers.py
+++ b/ramppost/gateway/watchers.py
@@ -1,4 +1,4 @@
-"""What a gateway follows in the store: configuration, upstreams, roll-outs."""
+"""Watches the store's configuration, upstreams, roll-outs, policies and other kinds."""
 
 from __future__ import annotations
 
@@ -26,44 +26,47 @@
 from ramppost.wire.codec import BadMessage
 
 CONFIG_WATCH_BOUND_RATIO: Final = 0.2
-"""Each answered watch confirms the configuration as of when it was sent, so its wait is how
-old a confirmation usually grows: a fifth of the bound, so that several may fail in a row."""
+"""Watch timeout as a part of the withdrawal bound.  An answered watch confirms the configuration
+as of the time it was sent, so its timeout is the usual age of a confirmation.  At a fifth of the
+bound, several watches in a row may fail."""
 CONFIG_WATCH_APPLY_RATIO: Final = 0.4
-"""Of the time in which a configuration must be in force: a confirmation is up to two waits old
-in calm times, and unknown routes and keys are refused for good only by one that is younger."""
+"""Watch timeout as a part of `config_apply_ms`, the time in which a configuration must be in force.
+In normal operation a confirmation is up to two timeouts old, and an unknown route or key is
+refused for good only under a confirmation younger than `config_apply_ms`."""
 UPSTREAM_WATCH_LEAVE_RATIO: Final = 0.4
-"""Part of the time in which an upstream's leaving must be known.  A relay that lost the store
-or died is noticed within this, `FEED_SLACK_S` and the slack of a call; the rest is for asking
-the store instead."""
+"""Watch timeout as a part of `upstream_leave_ms`, the time in which an upstream's leaving must be
+known.  A relay that lost the store or died is noticed within this timeout, `FEED_SLACK_S` and the
+slack of a call; the remaining time is for querying the store instead."""
 EVACUATION_WATCH_BOUND_RATIO: Final = 0.3
 """Watch timeout as a part of `evacuate_ms`.  A relay retries an unanswered watch after this plus
 the slack of a call; the remaining time is for propagation to the gateways it feeds."""
 FEED_SLACK_S: Final = 0.4
-"""How much longer than a relay's own watch a gateway waits for its next confirmation: a store
-that is slow answers in some tenths of a second."""
+"""How much longer than the relay's own watch timeout a gateway waits for the relay's next
+confirmation: a slow store answers in some tenths of a second."""
 DEPTH_SLACK_LEAVE_RATIO: Final = 0.15
-"""How much longer a gateway waits that is told by another of its hall, as a part of the time in
-which an upstream's leaving must be known: until that one has found its relay silent (0.2 s) and
-has been answered by the store instead.  All waits together leave an eighth of that time."""
+"""How much longer a gateway waits that is fed by another gateway of its hall, as a part of
+`upstream_leave_ms`: until that gateway has detected that its relay is silent (0.2 s) and has
+received an answer from the store instead.  All these waits together leave an eighth of
+`upstream_leave_ms`."""
 SLOW_WATCH_TIMEOUT_S: Final = 15.0
-"""For what other gateways write: a watch is answered at once where there is something."""
+"""Watch timeout for kinds that gateways write: a watch returns at once if there is a change."""
 ROLLOUT_WATCH_TIMEOUT_S: Final = 6.0
-"""Orders last many seconds, and a gateway also judges versions by itself."""
+"""Roll-out orders last many seconds, and a gateway also judges versions by itself."""
 FALLBACK_DELAY_S: Final = 3.0
-"""What other gateways write is asked of the store only so long after a relay has helped."""
+"""How long after the last valid feed the store is queried for kinds that gateways write."""
 UPSTREAM_WATCH_PAUSE_S: Final = 0.25
-"""Kept between two watches of upstreams: many change together."""
+"""Delay between two watches of upstreams, since many upstreams change together."""
 SWEEP_INTERVAL_S: Final = 0.2
 
 
 def feed_wait_s(gw: Gateway) -> float:
-    """Within this, whoever keeps up with the store has a later confirmation to tell."""
+    """Time within which a gateway that keeps up with the store has a later confirmation to send."""
     return _upstream_watch_timeout_s(gw) + FEED_SLACK_S + _depth_slack_s(gw)
 
 
 def stale_after_s(gw: Gateway) -> float:
-    """How old a confirmation grows at one that keeps up: it is dated by when a watch was
-    sent, and stands until the next watch has ended."""
+    """Highest age of a confirmation at a gateway that keeps up with the store: a confirmation is
+    dated by when its watch was sent, and is the latest until the next watch has ended."""
     return 2 * _upstream_watch_timeout_s(gw) + FEED_SLACK_S + _depth_slack_s(gw)
 
 
@@ -91,7 +94,7 @@
 
 
 async def start_watchers(gw: Gateway) -> None:
-    """Start following; the tasks end with the process."""
+    """Start the watch tasks, which end with the process."""
     config = Handlers(
         lambda snapshot: apply_config_snapshot(gw, snapshot),
         lambda change: _apply_config_change(gw, change),
@@ -150,7 +153,7 @@
     fallback_delay_s: float,
     urgent: bool = False,
 ) -> None:
-    """Follow a kind from now on."""
+    """Start to replicate a kind."""
     replica = KindReplica(kind, handlers, gw.updates, urgent)
     gw.replicas[kind] = replica
     follow_config = FollowConfig(
@@ -165,7 +168,7 @@
 
 
 def _ignore_confirmation(at: float) -> None:
-    """Nothing depends on how old this kind's confirmation is."""
+    """Handler for kinds where nothing depends on the age of the confirmation."""
 
 
 def apply_config_snapshot(gw: Gateway, snapshot: Snapshot) -> None:
@@ -174,19 +177,19 @@
 
 
 def confirm_config(gw: Gateway, sent_at: float) -> None:
-    """The store was asked at that time, and what it answered is in force."""
+    """Confirm the configuration as of `sent_at` if the newest one received is in force."""
     if gw.table is not None and gw.table.revision >= gw.config_revision_seen:
         gw.freshness.confirm(sent_at)
 
 
 def apply_config(gw: Gateway, obj: StoredObject) -> None:
-    """Put a configuration in force unless a newer one is."""
+    """Put a configuration in force unless the current one is as new."""
     if obj.name != names.CONFIG_NAME:
         return
     gw.config_revision_seen = max(gw.config_revision_seen, obj.revision)
     table = routing_table(obj)
     if isinstance(table, BadMessage):
-        logger.error("configuration not understood: {}", table.reason, revision=obj.revision)
+        logger.error("invalid configuration: {}", table.reason, revision=obj.revision)
         return
     if gw.table is not None and table.revision <= gw.table.revision:
         return
@@ -198,7 +201,7 @@
 
 def _apply_config_change(gw: Gateway, change: Change) -> None:
     if change.removed:
-        logger.error("configuration removed from the store; the last one stays in force")
+        logger.error("configuration was removed from the store; the last one stays in force")
     else:
         apply_config(gw, change.obj)
 
@@ -224,7 +227,7 @@
 
 
 def _decode_upstream(gw: Gateway, obj: StoredObject) -> Upstream | None:
-    """The upstream of an entry; one whose entry names none is not used any more."""
+    """Decode an upstream's entry; an upstream whose entry is invalid is no longer used."""
     found = upstream(obj)
     if isinstance(found, BadMessage):
         gw.unreadable.note(names.UPSTREAM_KIND, obj, found.reason)
@@ -235,7 +238,7 @@
 
 
 def _forget_removed(gw: Gateway) -> None:
-    """Drop what is known of upstreams that have left or started again."""
+    """Drop the state kept for upstreams that have left or restarted."""
     for gone in gw.members.take_gone():
         gw.forget(gone.key)
 
@@ -291,7 +294,7 @@
 
 def _apply_policy_change(gw: Gateway, change: Change) -> None:
     if change.removed:
-        logger.warning("policies removed from the store; the last ones stay in force")
+        logger.warning("policies were removed from the store; the last ones stay in force")
     else:
         gw.policies.seen(change.obj)
 
@@ -313,7 +316,7 @@
 
 
 async def _sweep(gw: Gateway) -> None:
-    """Drop what has not come back, close idle connections."""
+    """Periodically drop upstreams whose entries did not come back and close expired connections."""
     while True:
         await curio.sleep(SWEEP_INTERVAL_S)
         now = clock.now()
