--- a/ramppost/policy/rollout.py
+++ b/ramppost/policy/rollout.py
@@ -1,10 +1,10 @@
-"""Guards of a roll-out: sequential tests of the trial version against the stable one.
+"""Rollout guards: sequential tests of the trial version against the stable version.
 
-Pure.  Errors: Wald's sequential probability ratio test of the trial's error share,
-"as the stable one's" against "as high as `max_error_share`".  Slow answers: the
-same with `max_slow_share` (see `ramppost.policy.pace`).  Ratings: the same test for
-a mean that has fallen by `max_rating_drop`.  Each may end a roll-out after any
-request, at the error rates named below.
+No I/O.  Errors: Wald's sequential probability ratio test of the trial's error share, where
+the null hypothesis is the stable version's share and the alternative is `max_error_share`.
+Slow answers: the same test with `max_slow_share` (see `ramppost.policy.pace`).  Ratings: the
+same test for a mean that is lower by `max_rating_drop`.  Each test may end a rollout after
+any request, with the error rates `FALSE_ALARM_RATE` and `MISS_RATE`.
 """
 
 from __future__ import annotations
@@ -16,20 +16,21 @@
 from ramppost.policy.routing import RunningStats
 from ramppost.schema.config import ConfigDoc, Rollout
 
-FALSE_ALARM: Final = 0.001
-MISSED: Final = 0.05
-LEAST_ERROR_SHARE: Final = 0.01
-LEAST_SLOW_SHARE: Final = 0.2
-"""Higher than for errors: slowness comes in bursts, which the test takes for independent."""
+FALSE_ALARM_RATE: Final = 0.001
+MISS_RATE: Final = 0.05
+MIN_ERROR_SHARE: Final = 0.01
+MIN_SLOW_SHARE: Final = 0.2
+"""Higher than for errors because slow answers come in bursts, while the test assumes that they
+are independent."""
 DEFAULT_SLOW_SHARE: Final = 0.5
-LEAST_SD: Final = 0.1
-LEAST_STABLE_RATINGS: Final = 10
-KEPT_REVISIONS: Final = 64
-BOUND: Final = math.log((1 - MISSED) / FALSE_ALARM)
+MIN_SD: Final = 0.1
+MIN_STABLE_RATINGS: Final = 10
+MAX_REVISIONS: Final = 64
+LOG_LIKELIHOOD_BOUND: Final = math.log((1 - MISS_RATE) / FALSE_ALARM_RATE)
 
 
 class OutcomeCounts(NamedTuple):
-    """Requests that ended well and badly; `slow` is how many of the good were slow."""
+    """Counts of successful and failed requests; `slow` is the part of `ok` that was slow."""
 
     ok: int = 0
     bad: int = 0
@@ -37,20 +38,20 @@
 
 
 class CountKey(NamedTuple):
-    """What counts are of: a version, in the roll-out that a revision began, 0 for none."""
+    """Key of a set of counts: a version, and the revision that started its rollout (0 for none)."""
 
     mv: ModelVersion
     since: int
 
 
 def trial_count_key(rollout: Rollout) -> CountKey:
-    """What the runs of a roll-out's trial count for."""
+    """Key under which runs of a rollout's trial version are counted."""
     mv = ModelVersion(rollout["model"], rollout["trial"])
     return CountKey(mv, rollout.get("since_revision", 0))
 
 
 def count_key_of(doc: ConfigDoc, mv: ModelVersion) -> CountKey:
-    """What a run of a version counts for by a configuration."""
+    """Key under which a run of a version is counted, according to the configuration."""
     rollout = running_rollout(doc, mv.model)
     if rollout is None or rollout["trial"] != mv.version:
         return CountKey(mv, 0)
@@ -58,95 +59,104 @@
 
 
 class Ratings:
-    """Ratings of a version by the revision in force when the request came in."""
+    """Ratings of a version, by the revision that was in force when the request arrived."""
 
     def __init__(self) -> None:
         self.all = RunningStats()
         self._by_revision: dict[int, RunningStats] = {}
 
     def add(self, revision: int, score: float) -> None:
-        """Take in one; of many revisions the oldest are forgotten."""
+        """Add a rating; only the latest `MAX_REVISIONS` revisions are kept separately."""
         self.all.add(score)
         self._by_revision.setdefault(revision, RunningStats()).add(score)
-        if len(self._by_revision) > KEPT_REVISIONS:
+        if len(self._by_revision) > MAX_REVISIONS:
             del self._by_revision[min(self._by_revision)]
 
     def since(self, revision: int) -> RunningStats:
-        """Those of requests that came in at a revision or later."""
+        """Ratings of requests that arrived at the given revision or later."""
         total = RunningStats()
-        for known, mean in self._by_revision.items():
-            if known >= revision:
-                total.n += mean.n
-                total.total += mean.total
-                total.sum_squares += mean.sum_squares
+        for rated_revision, stats in self._by_revision.items():
+            if rated_revision >= revision:
+                total.n += stats.n
+                total.total += stats.total
+                total.sum_squares += stats.sum_squares
         return total
 
 
 def add_counts(a: OutcomeCounts, b: OutcomeCounts) -> OutcomeCounts:
-    """Both together."""
+    """Sum of two sets of counts."""
     return OutcomeCounts(a.ok + b.ok, a.bad + b.bad, a.slow + b.slow)
 
 
-def counts_since(now: OutcomeCounts, then: OutcomeCounts) -> OutcomeCounts:
-    """What came after `then`."""
+def counts_since(current: OutcomeCounts, earlier: OutcomeCounts) -> OutcomeCounts:
+    """Counts added after `earlier`, never below 0."""
     return OutcomeCounts(
-        max(0, now.ok - then.ok), max(0, now.bad - then.bad), max(0, now.slow - then.slow)
+        max(0, current.ok - earlier.ok),
+        max(0, current.bad - earlier.bad),
+        max(0, current.slow - earlier.slow),
     )
 
 
 def split_cap(cap: int, entries: int, rank: int) -> int:
-    """An entry's part of a cap on requests, so that all parts add up to it; ranks count from 0.
+    """An entry's part of a cap on requests; the parts of all entries add up to the cap.
+
+    `rank` is the entry's rank among the entries, from 0.
 
     >>> [split_cap(11, 3, rank) for rank in range(3)]
     [4, 4, 3]
     """
-    whole, rest = divmod(cap, entries)
-    return whole + (rank < rest)
+    quotient, remainder = divmod(cap, entries)
+    return quotient + (rank < remainder)
 
 
 class Verdict(NamedTuple):
-    """What is to be done with a roll-out, and why."""
+    """The action to take on a rollout, and the reason for it."""
 
     action: Literal["wait", "advance", "finish", "withdraw"]
     reason: str
 
 
-def _share(part: int, rest: int) -> float:
-    return part / (part + rest) if part else 0.0
+def _share(hits: int, others: int) -> float:
+    return hits / (hits + others) if hits else 0.0
+
 
+def _accepts_higher_share(hits: int, others: int, baseline: float, bad_share: float) -> bool:
+    """Whether the test accepts a share of `bad_share` over `baseline`, given the two counts.
 
-def _speaks_for(part: int, rest: int, usual: float, bad: float) -> bool:
-    """Whether `part` of `part + rest` speaks for a share of `bad` rather than `usual`."""
-    high = max(bad, 2 * usual)
-    if high >= 1:
+    The alternative is at least twice the baseline; if that reaches 1, the test never accepts it.
+    """
+    alternative = max(bad_share, 2 * baseline)
+    if alternative >= 1:
         return False
-    ratio = part * math.log(high / usual) + rest * math.log((1 - high) / (1 - usual))
-    return ratio > BOUND
+    log_likelihood_ratio = hits * math.log(alternative / baseline) + others * math.log(
+        (1 - alternative) / (1 - baseline)
+    )
+    return log_likelihood_ratio > LOG_LIKELIHOOD_BOUND
 
 
 def errors_too_high(stable: OutcomeCounts, trial: OutcomeCounts, max_share: float) -> bool:
-    """Whether the trial's errors speak for `max_share` rather than the stable share.
+    """Whether the test accepts `max_share` over the stable version's share of errors.
 
     >>> errors_too_high(OutcomeCounts(1000, 2), OutcomeCounts(3, 4), 0.2)
     True
     """
-    usual = max(LEAST_ERROR_SHARE, _share(stable.bad, stable.ok))
-    return _speaks_for(trial.bad, trial.ok, usual, max_share)
+    baseline = max(MIN_ERROR_SHARE, _share(stable.bad, stable.ok))
+    return _accepts_higher_share(trial.bad, trial.ok, baseline, max_share)
 
 
 def too_slow(stable: OutcomeCounts, trial: OutcomeCounts, max_share: float) -> bool:
-    """Whether the trial's slow answers speak for `max_share` rather than the stable share."""
-    usual = max(LEAST_SLOW_SHARE, _share(stable.slow, stable.ok - stable.slow))
-    return _speaks_for(trial.slow, trial.ok - trial.slow, usual, max_share)
+    """Whether the test accepts `max_share` over the stable version's share of slow answers."""
+    baseline = max(MIN_SLOW_SHARE, _share(stable.slow, stable.ok - stable.slow))
+    return _accepts_higher_share(trial.slow, trial.ok - trial.slow, baseline, max_share)
 
 
 def ratings_too_low(stable: RunningStats, trial: RunningStats, max_drop: float) -> bool:
-    """Whether the trial's ratings speak for a mean lower by `max_drop`."""
-    if stable.n < LEAST_STABLE_RATINGS or trial.n < 2 or max_drop <= 0:
+    """Whether the test accepts that the trial's mean rating is lower by `max_drop`."""
+    if stable.n < MIN_STABLE_RATINGS or trial.n < 2 or max_drop <= 0:
         return False
-    sd = max(LEAST_SD, stable.sd)
-    lost = trial.n * (stable.mean - max_drop / 2) - trial.total
-    return max_drop / sd**2 * lost > BOUND
+    sd = max(MIN_SD, stable.sd)
+    shortfall = trial.n * (stable.mean - max_drop / 2) - trial.total
+    return max_drop / sd**2 * shortfall > LOG_LIKELIHOOD_BOUND
 
 
 def evaluate_rollout(
@@ -158,14 +168,17 @@
     step_age_s: float,
     step_requests: int,
 ) -> Verdict:
-    """What to do now; `step_requests` counts the trial's requests in this step."""
+    """Decide the next action of a rollout.
+
+    `step_age_s` and `step_requests` are the age of the current step and the trial's requests in it.
+    """
     if errors_too_high(stable, trial, rollout["max_error_share"]):
         return Verdict("withdraw", f"{trial.bad} of {trial.ok + trial.bad} requests failed")
     if too_slow(stable, trial, rollout.get("max_slow_share", DEFAULT_SLOW_SHARE)):
         return Verdict("withdraw", f"{trial.slow} of {trial.ok} answers were slow")
     if ratings_too_low(stable_ratings, trial_ratings, rollout["max_rating_drop"]):
-        fell = f"{trial_ratings.mean:.2f} after {stable_ratings.mean:.2f}"
-        return Verdict("withdraw", f"mean rating {fell} on {trial_ratings.n} answers")
+        change = f"{trial_ratings.mean:.2f} after {stable_ratings.mean:.2f}"
+        return Verdict("withdraw", f"mean rating {change} on {trial_ratings.n} answers")
     if step_age_s < rollout["step_s"] or step_requests < rollout.get("min_requests", 20):
         return Verdict("wait", "step is not over")
     if rollout["step"] + 1 < len(rollout["steps"]):
