--- a/ramppost/policy/claims.py
+++ b/ramppost/policy/claims.py
@@ -1,11 +1,12 @@
-"""State of a claim shard: a log in segments, of which only the head is ever changed.
-
-Pure; times are arguments.  The head is replaced only by an update on the version
-that its writer has read, and a writer has read all segments before it; so a group
-of claims that was written is valid, whoever else writes, paused or not.  A full
-head is copied under its number and never changed again, and the next begins; old
-copies can be deleted, since nobody ever writes there.  Nobody has to own a shard
-for that; sending a shard's claims through one entry only saves conflicts.
+"""State of a claim shard: a segmented log of which only the head segment is ever changed.
+
+No I/O; times are arguments.  The head is replaced only by a conditional update on the version
+that its writer has read, and a writer has read all segments before the head.  A group of
+claims that was written is therefore valid no matter who else writes, and whether or not a
+writer was paused meanwhile.  A full head is copied to the key of its sequence number, where it
+is never changed again, and the next head begins; since nobody writes to the copies, old ones
+can be deleted.  This needs no owner of a shard; sending a shard's claims through one entry
+only avoids conflicts.
 """
 
 from __future__ import annotations
@@ -24,43 +25,43 @@
 KEY_BYTES: Final = 16
 KEY_PATTERN: Final = re.compile(f"[0-9a-f]{{{2 * KEY_BYTES}}}")
 MAX_HEAD_RECORDS: Final = 64
-"""A head with so many records is closed.  All entries must agree on it: where they
-don't, one could close a head that another still adds to."""
+"""A head with this many records is closed.  All entries must use the same value; otherwise one
+could close a head to which another still adds records."""
 
 
 def claim_key(workspace: str, caller_key: str) -> str:
-    """Digest that names a caller's key within its workspace."""
+    """Digest that identifies a caller's key within its workspace."""
     text = f"{workspace}\0{caller_key}".encode()
     return hashlib.blake2b(text, digest_size=KEY_BYTES).hexdigest()
 
 
 def is_claim_key(text: str) -> bool:
-    """Whether a text has the form of a claim key."""
+    """Whether a string has the format of a claim key."""
     return KEY_PATTERN.fullmatch(text) is not None
 
 
 def shard_of(key: str) -> int:
-    """The shard of a claim key."""
+    """Number of the shard that a claim key belongs to."""
     return int(key[:4], 16) % SHARDS
 
 
 def shard_prefix(shard: int) -> str:
-    """Prefix of a shard's objects."""
+    """Key prefix of a shard's objects."""
     return f"claims/{shard:03d}/"
 
 
 def head_key(shard: int) -> str:
-    """Object key of a shard's head; it sorts after all closed segments."""
+    """Object key of a shard's head, which sorts after those of all closed segments."""
     return f"{shard_prefix(shard)}head"
 
 
 def segment_key(shard: int, seq: int) -> str:
-    """Object key of a closed segment; keys sort as their numbers."""
+    """Object key of a closed segment; the keys sort in the order of the sequence numbers."""
     return f"{shard_prefix(shard)}{seq:0{SEQ_DIGITS}d}"
 
 
 class StoredClaim(NamedTuple):
-    """A claim as it is kept for hours: without its key, and sharing what repeats."""
+    """Compact form of a claim, which is kept for hours: without its key, with interned strings."""
 
     seq: int
     nonce: str
@@ -93,20 +94,20 @@
     )
 
 
-def _claim_message(key: str, held: StoredClaim) -> Claim:
+def _claim_message(key: str, stored: StoredClaim) -> Claim:
     return Claim(
         key=key,
-        nonce=held.nonce,
-        generation=held.generation,
-        stage=held.stage,
-        request_id=held.request_id,
-        entry=held.entry,
-        candidates=[Candidate(addr=ids.address(t), agent=t) for t in held.agents],
-        model=held.model,
-        version=held.version,
-        at_s=held.at_s,
-        state=held.state,  # type: ignore[typeddict-item]
-        body=held.body,
+        nonce=stored.nonce,
+        generation=stored.generation,
+        stage=stored.stage,
+        request_id=stored.request_id,
+        entry=stored.entry,
+        candidates=[Candidate(addr=ids.address(agent), agent=agent) for agent in stored.agents],
+        model=stored.model,
+        version=stored.version,
+        at_s=stored.at_s,
+        state=stored.state,  # type: ignore[typeddict-item]
+        body=stored.body,
     )
 
 
@@ -121,7 +122,7 @@
 
 
 class ClosedSegment(NamedTuple):
-    """A closed segment: its number, when it was first seen, and its keys."""
+    """A closed segment: its sequence number, when it was first read, and its claim keys."""
 
     seq: int
     seen_at: float
@@ -129,7 +130,7 @@
 
 
 class Shard:
-    """What is known of a shard."""
+    """State of a shard, as read from its segments and written claims."""
 
     def __init__(self) -> None:
         self.head = ClaimSegment(seq=0, nonces=[], claims=[], ends=[])
@@ -138,7 +139,7 @@
         self._claims: dict[str, StoredClaim] = {}
 
     def add_closed_segment(self, segment: ClaimSegment, now: float) -> None:
-        """Take in a closed segment; closed ones come in order, maybe twice."""
+        """Add a closed segment; closed segments arrive in order, possibly more than once."""
         if self.closed and segment["seq"] <= self.closed[-1].seq:
             return
         self._add_segment(segment)
@@ -146,54 +147,56 @@
         self.closed.append(ClosedSegment(segment["seq"], now, keys))
 
     def update_head(self, segment: ClaimSegment, version: int) -> None:
-        """Take in the head as it was at a version of its object, if that is news."""
+        """Set the head to its value at a version of its object, if that version is newer."""
         if self.head_version is not None and version <= self.head_version:
             return
         self._add_segment(segment)
         self.head, self.head_version = segment, version
 
     def next_head(self, nonce: str, claims: list[Claim]) -> ClaimSegment:
-        """The head with a group added, or a new one begun with it if it is full."""
+        """Return the head with a group added, or a new head with the group if it is full."""
         head = self.head
-        begun = [claim for claim in claims if claim["state"] == "open"]
+        opened = [claim for claim in claims if claim["state"] == "open"]
         ends = [_claim_end(claim) for claim in claims if claim["state"] != "open"]
         if len(head["claims"]) + len(head["ends"]) >= MAX_HEAD_RECORDS:
-            return ClaimSegment(seq=head["seq"] + 1, nonces=[nonce], claims=begun, ends=ends)
+            return ClaimSegment(seq=head["seq"] + 1, nonces=[nonce], claims=opened, ends=ends)
         return ClaimSegment(
             seq=head["seq"],
             nonces=[*head["nonces"], nonce],
-            claims=[*head["claims"], *begun],
+            claims=[*head["claims"], *opened],
             ends=[*head["ends"], *ends],
         )
 
     def add_claim(self, claim: Claim, seq: int = 0) -> None:
-        """Take in a claim that is known to be written."""
-        held = self._claims.get(claim["key"])
-        if held is None or _supersedes(claim, held):
+        """Add a claim that is known to be written."""
+        stored = self._claims.get(claim["key"])
+        if stored is None or _supersedes(claim, stored):
             self._claims[claim["key"]] = _stored_claim(claim, seq)
 
     def get(self, key: str) -> Claim | None:
-        """The claim of a key."""
-        held = self._claims.get(key)
-        return None if held is None else _claim_message(key, held)
+        """The claim stored for a key, if any."""
+        stored = self._claims.get(key)
+        return None if stored is None else _claim_message(key, stored)
 
     def conflicting_claim(self, claim: Claim) -> Claim | None:
-        """The claim that stands against this one, if any."""
-        held = self._claims.get(claim["key"])
+        """The stored claim that prevents this one from being written, if any."""
+        stored = self._claims.get(claim["key"])
         return (
-            None if held is None or _supersedes(claim, held) else _claim_message(claim["key"], held)
+            None
+            if stored is None or _supersedes(claim, stored)
+            else _claim_message(claim["key"], stored)
         )
 
     def drop_segment(self, closed: ClosedSegment) -> None:
-        """Forget the claims whose last word is in a closed segment that was deleted."""
+        """Drop a closed segment that was deleted, and claims whose latest record was in it."""
         self.closed.remove(closed)
         for key in closed.keys:
-            held = self._claims.get(key)
-            if held is not None and held.seq <= closed.seq:
+            stored = self._claims.get(key)
+            if stored is not None and stored.seq <= closed.seq:
                 del self._claims[key]
 
     def trim(self, count: int) -> None:
-        """Keep no more than so many claims, the last taken in."""
+        """Keep at most `count` claims, those whose keys were added last."""
         for key in list(self._claims)[: max(0, len(self._claims) - count)]:
             del self._claims[key]
 
@@ -204,16 +207,19 @@
             self._add_end(end, segment["seq"])
 
     def _add_end(self, end: ClaimEnd, seq: int) -> None:
-        held = self._claims.get(end["key"])
-        same = held and (held.request_id, held.generation) == (end["request_id"], end["generation"])
-        if held and same and held.state == "open":
-            self._claims[end["key"]] = held._replace(state=end["state"], seq=seq)
+        stored = self._claims.get(end["key"])
+        matches = stored and (stored.request_id, stored.generation) == (
+            end["request_id"],
+            end["generation"],
+        )
+        if stored and matches and stored.state == "open":
+            self._claims[end["key"]] = stored._replace(state=end["state"], seq=seq)
 
 
-def _supersedes(claim: Claim, held: StoredClaim) -> bool:
-    """Whether a claim is a later generation of the request held, or its end."""
-    if claim["request_id"] != held.request_id:
+def _supersedes(claim: Claim, stored: StoredClaim) -> bool:
+    """Whether a claim is a later generation of the stored claim's request, or ends that claim."""
+    if claim["request_id"] != stored.request_id:
         return False
-    if claim["generation"] != held.generation:
-        return claim["generation"] > held.generation
-    return held.state == "open" and claim["state"] != "open"
+    if claim["generation"] != stored.generation:
+        return claim["generation"] > stored.generation
+    return stored.state == "open" and claim["state"] != "open"
--- a/ramppost/policy/rollout.py
+++ b/ramppost/policy/rollout.py
@@ -1,10 +1,10 @@
 """Rollout guards: sequential tests of the trial version against the stable version.
 
-No I/O.  Errors: Wald's sequential probability ratio test of the trial's error share, where
-the null hypothesis is the stable version's share and the alternative is `max_error_share`.
-Slow answers: the same test with `max_slow_share` (see `ramppost.policy.pace`).  Ratings: the
-same test for a mean that is lower by `max_rating_drop`.  Each test may end a rollout after
-any request, with the error rates `FALSE_ALARM_RATE` and `MISS_RATE`.
+No I/O.  Errors: Wald's sequential probability ratio test of the trial's error share.  The null
+hypothesis is the stable version's share, the alternative the rollout's "max_error_share".  Slow
+answers: the same test with `max_slow_share` (see `ramppost.policy.pace`).  Ratings: the same
+test for a mean that is lower by `max_rating_drop`.  Each test may end a rollout after any
+request, with the error rates `FALSE_ALARM_RATE` and `MISS_RATE`.
 """
 
 from __future__ import annotations
