--- a/ramppost/policy/keepers.py
+++ b/ramppost/policy/keepers.py
@@ -1,9 +1,9 @@
-"""Which gateway keeps the backlog of an engine, so that the words of all gateways meet there.
+"""Assigns each engine a keeper: the gateway that tracks the engine's backlog for all gateways.
 
-Pure.  All gateways rank the names that are listed in the store by the same hash, so they
-agree without talking.  Whoever asks one keeper tells one gateway instead of all, so a
-request costs a few datagrams whatever the size of the fleet.  The keeper stands in the
-engine's own data hall: halls that lose each other go on with their own engines.
+Pure.  All gateways rank the gateways listed in the store by the same hash, so they agree without
+communication.  They exchange messages with the keeper instead of with each other, so a request
+costs a few datagrams regardless of the fleet size.  The keeper is in the engine's own data hall, so
+that partitioned halls continue with their own engines.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 
 def keeper_of(engine: str, hall: str, halls: Mapping[str, str], silent: frozenset[str]) -> str:
-    """The gateway that keeps an engine's backlog; empty where nobody can.
+    """The keeper of an engine, or "" if there is none.
 
-    `halls` gives the data hall of each gateway, `silent` those that did not answer lately.
+    `halls` gives the data hall of each gateway; `silent` are those that recently did not respond.
 
     >>> halls = {"g1": "north", "g2": "south", "g3": "south"}
     >>> keeper_of("e", "north", halls, frozenset())
@@ -24,6 +24,6 @@
     >>> keeper_of("e", "north", halls, frozenset({"g1"})) in ("g2", "g3")
     True
     """
-    there = [name for name in halls if name not in silent]
-    near = [name for name in there if halls[name] == hall]
-    return min(near or there, key=lambda name: hash_fraction("keeper", engine, name), default="")
+    live = [name for name in halls if name not in silent]
+    local = [name for name in live if halls[name] == hall]
+    return min(local or live, key=lambda name: hash_fraction("keeper", engine, name), default="")
--- a/ramppost/policy/relays.py
+++ b/ramppost/policy/relays.py
@@ -87,7 +87,7 @@
     This limits the load on the store when all gateways restart at once.  In a fleet of 68, all have
     their data in 0.2 s, from peers or the store.  When 298 gateways read 3,000 upstreams from the
     store simultaneously, 268 MB saturated its link, calls timed out and were retried, and callers
-    were served only 8.5 s after the restart.
+    were served only 8.5 s after the gateways were killed.
 
     >>> [round(start_hold_s(size, 0.9), 2) for size in (6, 100, 298, 410)]
     [0.15, 0.15, 1.6, 2.42]
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -6,8 +6,8 @@
 
 from ramppost.policy.backlog import (
     CACHE_TTL_S,
+    MAX_PENDING,
     MAX_WAIT_S,
-    MAX_WAITING,
     OVERDUE_SHARE,
     Backlog,
     PendingPrompt,
@@ -62,9 +62,9 @@
 
 def test_a_backlog_is_bounded_whatever_is_told() -> None:
     backlog = Backlog()
-    for number in range(2 * MAX_WAITING):
+    for number in range(2 * MAX_PENDING):
         backlog.add(f"{number}", reading(0.001))
-    assert backlog.ahead_s(0, NOW) <= MAX_WAITING * 0.001 + 0.001
+    assert backlog.ahead_s(0, NOW) <= MAX_PENDING * 0.001 + 0.001
 
 
 def test_ends_that_are_told_twice_or_of_nothing_change_nothing() -> None:
