--- a/ramppost/gateway/__main__.py
+++ b/ramppost/gateway/__main__.py
@@ -1,8 +1,8 @@
 """Runs a gateway: `python -m ramppost.gateway`.
 
-The callers' address is listened on before anything large is imported: imports take
-several tenths of a second of a small share of a core, and callers that connect meanwhile
-wait in the backlog instead of being refused.
+The process listens on the callers' address before it imports anything large.  Imports take
+several tenths of a second on a small share of a core, and callers that connect meanwhile wait in
+the listen backlog instead of being refused.
 """
 
 from __future__ import annotations
--- a/ramppost/gateway/early.py
+++ b/ramppost/gateway/early.py
@@ -1,7 +1,7 @@
 """Listens on the callers' address at the very start of the process.
 
-Imports nothing but small modules of the standard library.  A settings file that can't
-be used gives None: `ramppost.gateway.main` reads it again and names the fault.
+Imports nothing but small modules of the standard library.  For an invalid settings file the
+result is None; `ramppost.gateway.main` reads the file again and reports the error.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 
 def strip_comments(text: str) -> str:
-    """The text without lines that are comments; line numbers stay as they are."""
+    """Replace comment lines with empty ones, which keeps the line numbers."""
     lines = text.split("\n")
     return "\n".join("" if line.lstrip().startswith(COMMENT_PREFIX) else line for line in lines)
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Host and port of `ip:port`."""
+    """Split `ip:port` into host and port."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 def listen_early(path: str) -> socket.socket | None:
-    """A socket that listens on the address of the settings, or None."""
+    """A socket that listens on the address in the settings; None if that fails."""
     try:
         with open(path, encoding="utf-8") as file:
             cfg = json.loads(strip_comments(file.read()))
--- a/ramppost/gateway/events.py
+++ b/ramppost/gateway/events.py
@@ -1,9 +1,9 @@
-"""Splits a stream of server-sent events into whole events.
+"""Splits a stream of server-sent events into complete events.
 
-Only whole events are passed on: an upstream may break off within one.
+Only complete events are passed on, since an upstream may fail within one.
 
     splitter = EventSplitter()
-    splitter.feed(b"id: 1\\ndata: x\\n\\nid: 2\\nda")   # one event, the rest is kept
+    splitter.feed(b"id: 1\\ndata: x\\n\\nid: 2\\nda")   # one event; the remainder is buffered
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 
 
 class Event(NamedTuple):
-    """A whole event with its separator; `id` is empty where it has none."""
+    """A complete event with its separator; `id` is empty if it has none."""
 
     raw: bytes
     id: str
 
 
 class EventSplitter:
-    """Bytes of a stream that are not a whole event yet."""
+    """Buffers the bytes of a stream until they make up complete events."""
 
     def __init__(self) -> None:
         self._buf = bytearray()
 
     @property
     def remainder(self) -> bytes:
-        """What came after the last whole event."""
+        """The bytes after the last complete event."""
         return bytes(self._buf)
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take in bytes; gives the events that they complete."""
+        """Add bytes; returns the events that they complete."""
         self._buf += data
         events = []
         while (end := self._buf.find(SEPARATOR)) >= 0:
--- a/ramppost/gateway/feed.py
+++ b/ramppost/gateway/feed.py
@@ -83,7 +83,7 @@
 
 
 def urgent_confirmed_at(gw: Gateway) -> float:
-    """When the least recently confirmed urgent kind was confirmed (monotonic clock): since then it
+    """When the least recently confirmed urgent kind was confirmed (steady clock): since then it
     may have changed unnoticed."""
     return min((r.confirmed_at for r in gw.replicas.values() if r.urgent), default=float("-inf"))
 
--- a/ramppost/gateway/follow.py
+++ b/ramppost/gateway/follow.py
@@ -48,7 +48,7 @@
 class Handlers(NamedTuple):
     """Callbacks for a full snapshot, for a change, and for each confirmation.
 
-    `on_confirmed` gets the time (monotonic clock) at which the state was known to be the newest.
+    `on_confirmed` gets the time (steady clock) at which the state was known to be the newest.
     """
 
     on_snapshot: Callable[[Snapshot], None]
@@ -66,7 +66,7 @@
 class PendingObject(NamedTuple):
     """An object known by name and revision only, to be loaded.
 
-    `source` is the gateway that announced it, `since` the time (monotonic clock) of the first
+    `source` is the gateway that announced it, `since` the time (steady clock) of the first
     announcement of a revision that has not been loaded.
     """
 
@@ -106,7 +106,7 @@
         self.revision: int | None = None
         """The store revision of this replica; None if the kind has to be listed."""
         self.confirmed_at = float("-inf")
-        """When that revision was known to be the newest (monotonic clock)."""
+        """When that revision was known to be the newest (steady clock)."""
         self.awaiting_response = False
         """Whether the store's response has begun, or was complete so late that its confirmation is
         already stale; in both cases a later confirmation is about to arrive."""
@@ -124,25 +124,27 @@
         """The store has begun to send its response."""
         self.awaiting_response = True
 
-    async def apply_snapshot(self, snapshot: Snapshot, at: float, source: str = "") -> None:
+    async def apply_snapshot(
+        self, snapshot: Snapshot, confirmed_at: float, source: str = ""
+    ) -> None:
         """Apply a full snapshot of the state at time `at` or later."""
         if self.revision is not None and snapshot.revision < self.revision:
             return
         objects = [self._newest_known(obj) for obj in snapshot.objects]
         self._objects = {obj.name: obj for obj in objects}
-        before, self.pending = self.pending, {}
+        previous, self.pending = self.pending, {}
         for obj in objects:
             if not obj.whole:
-                self._mark_pending(obj, source, before.get(obj.name))
+                self._mark_pending(obj, source, previous.get(obj.name))
         self._latest_changes.clear()
         self._sizes.clear()
         self._change_log_start = self.revision = snapshot.revision
         whole = [obj for obj in objects if obj.whole]
         self._handlers.on_snapshot(Snapshot(whole, snapshot.revision))
-        await self._confirm(at)
+        await self._confirm(confirmed_at)
 
     async def apply_changes(
-        self, since: int, changes: Changes, at: float, source: str = ""
+        self, since: int, changes: Changes, confirmed_at: float, source: str = ""
     ) -> None:
         """Apply all changes between revision `since` and time `at`."""
         if self.revision != since or changes.revision < since:
@@ -150,15 +152,15 @@
         for change in changes.changes:
             self._apply_change(change, changes.revision, source)
         self.revision = changes.revision
-        await self._confirm(at)
+        await self._confirm(confirmed_at)
 
     async def apply_object(self, obj: StoredObject) -> None:
         """Apply an object that was pending and has been loaded.
 
         An older revision than the announced one is applied as well, but the object stays pending.
         """
-        held = self._objects.get(obj.name)
-        if held is None or (held.whole and held.revision >= obj.revision):
+        current = self._objects.get(obj.name)
+        if current is None or (current.whole and current.revision >= obj.revision):
             return
         pending = self.pending.get(obj.name)
         if pending is None or obj.revision >= pending.revision:
@@ -175,12 +177,12 @@
         """The update for a gateway whose replica is at `revision`."""
         if revision < self._change_log_start:
             return Delta(True, [Change(obj, False) for obj in self._objects.values()])
-        found = []
+        changes = []
         for changed_at, change in reversed(self._latest_changes.values()):
             if changed_at <= revision:
                 break
-            found.append(change)
-        return Delta(False, found[::-1])
+            changes.append(change)
+        return Delta(False, changes[::-1])
 
     def size_of(self, name: str) -> int:
         """Size of an object's spec as JSON in bytes; 0 for an unknown object."""
@@ -191,22 +193,22 @@
 
     def _newest_known(self, obj: StoredObject) -> StoredObject:
         """The local copy if it is complete, `obj` is not, and it is at least as new; else `obj`."""
-        held = self.complete_object(obj.name)
-        if obj.whole or held is None or held.revision < obj.revision:
+        current = self.complete_object(obj.name)
+        if obj.whole or current is None or current.revision < obj.revision:
             return obj
-        return held
+        return current
 
     def _apply_change(self, change: Change, revision: int, source: str) -> None:
         obj = change.obj if change.removed else self._newest_known(change.obj)
         self._record_change(Change(obj, change.removed), revision)
-        before = self.pending.pop(obj.name, None)
+        previous = self.pending.pop(obj.name, None)
         if obj.whole or change.removed:
             self._handlers.on_change(Change(obj, change.removed))
         else:
-            self._mark_pending(obj, source, before)
+            self._mark_pending(obj, source, previous)
 
-    def _mark_pending(self, obj: StoredObject, source: str, before: PendingObject | None) -> None:
-        since = before.since if before is not None else clock.now()
+    def _mark_pending(self, obj: StoredObject, source: str, previous: PendingObject | None) -> None:
+        since = previous.since if previous is not None else clock.now()
         self.pending[obj.name] = PendingObject(obj.revision, source, since)
 
     def _replace_pending(self, obj: StoredObject) -> None:
@@ -230,10 +232,10 @@
         while len(self._latest_changes) > MAX_CHANGE_LOG:
             self._change_log_start, _ = self._latest_changes.pop(next(iter(self._latest_changes)))
 
-    async def _confirm(self, at: float) -> None:
-        self.confirmed_at = max(self.confirmed_at, at)
+    async def _confirm(self, confirmed_at: float) -> None:
+        self.confirmed_at = max(self.confirmed_at, confirmed_at)
         if not self.pending:
-            self._handlers.on_confirmed(at)
+            self._handlers.on_confirmed(confirmed_at)
         await self._notifier.notify()
 
 
@@ -256,7 +258,7 @@
 
 
 class StoreOutage:
-    """Since when the store has been unavailable (monotonic clock), if it is."""
+    """Since when the store has been unavailable (steady clock), if it is."""
 
     def __init__(self) -> None:
         self.failing_since: float | None = None
@@ -282,13 +284,13 @@
     backoff_s = FIRST_BACKOFF_S
     while True:
         await _wait_while_fed(config)
-        failed = await _ask_store(client, config)
-        if failed is None:
+        failure = await _ask_store(client, config)
+        if failure is None:
             outage.call_answered(replica.kind)
             backoff_s = FIRST_BACKOFF_S
             await curio.sleep(config.pause_s)
             continue
-        outage.call_failed(replica.kind, failed.reason)
+        outage.call_failed(replica.kind, failure.reason)
         await curio.sleep(backoff_s * random.uniform(0.5, 1.0))
         backoff_s = min(MAX_BACKOFF_S, backoff_s * 2)
         if not config.probes_store:
@@ -301,22 +303,22 @@
     since = replica.revision
     sent_at = clock.now()
     if since is None:
-        listed = await list_kind(client, replica.kind)
-        if isinstance(listed, Unavailable):
-            return listed
-        await replica.apply_snapshot(listed, sent_at)
+        snapshot = await list_kind(client, replica.kind)
+        if isinstance(snapshot, Unavailable):
+            return snapshot
+        await replica.apply_snapshot(snapshot, sent_at)
         return None
-    got = await watch(
+    result = await watch(
         client, replica.kind, since, _watch_timeout_s(config, sent_at), replica.response_started
     )
-    replica.awaiting_response = isinstance(got, Changes)
-    if isinstance(got, Unavailable):
-        return got
-    if isinstance(got, HistoryGone):
+    replica.awaiting_response = isinstance(result, Changes)
+    if isinstance(result, Unavailable):
+        return result
+    if isinstance(result, HistoryGone):
         logger.info("the store no longer has the changes since revision {}; listing again", since)
         replica.revision = None
         return None
-    await replica.apply_changes(since, got, sent_at)
+    await replica.apply_changes(since, result, sent_at)
     replica.awaiting_response = _is_confirmation_old(config, clock.now())
     return None
 
--- a/ramppost/gateway/joining.py
+++ b/ramppost/gateway/joining.py
@@ -1,13 +1,13 @@
-"""Joins the other gateways at the start, and is told by them what stands in the store.
+"""Joins the fleet of gateways at startup and gets the store's state from them.
 
-A gateway that starts finds the others in the store's list, with a read that may be seconds old:
-that is enough to know whom to ask.  One that is listed as it is now writes nothing.  Then it
-waits a moment for the others to tell it everything before it asks the store itself: of 2,125
-calls that a fleet of 68 made in 36 s of a calm day, 1,461 were of its first seven, and as many
-again would follow whenever all were killed.
+A starting gateway lists the others with a read that may be seconds old, which is good enough to
+know whom to poll.  If its own entry is in the list and correct, it writes nothing.  Then it waits
+briefly for a feed from the others before it queries the store itself: of 2,125 store calls that a
+fleet of 68 made in 36 s of a calm day, 1,461 fell into its first seven seconds, and as many again
+would follow whenever all gateways were killed.
 
-The first start of a whole fleet finds nobody.  Then each enters itself, waits until the others
-have done so, and looks again.
+The first start of a whole fleet finds an empty list.  Then each gateway writes its own entry,
+waits until the others have done so, and lists again.
 """
 
 from __future__ import annotations
@@ -39,65 +39,66 @@
 
 REGISTER_RETRY_S: Final = 0.25
 JOINT_START_S: Final = 0.8
-"""Boxes of a fleet start within 0.3 s of each other, and their processes need half a second."""
+"""How long a fleet's first start takes: its boxes start within 0.3 s of each other, and their
+processes need half a second."""
 MAX_LISTS: Final = 3
-"""Lists that are read until one shows the own entry, and so is as new as that."""
+"""Most lists read until one contains the own entry and so is at least as new as that."""
 LIST_RETRY_S: Final = 0.2
 
 
 async def join(gw: Gateway) -> None:
-    """Find the others, follow what stands in the store, and enter the own name."""
+    """Find the other gateways, replicate the store's kinds, and write the own entry."""
     entry = own_entry(gw)
-    seen = await list_kind(gw.store, GATEWAY_KIND, stale_ok=True)
-    registered = _is_registered(gw, seen, entry)
-    if isinstance(seen, Snapshot) and not seen.objects:
+    listing = await list_kind(gw.store, GATEWAY_KIND, stale_ok=True)
+    registered = _is_registered(gw, listing, entry)
+    if isinstance(listing, Snapshot) and not listing.objects:
         await _register(gw, entry)
         registered = True
-        seen = await _list_joint_start(gw, entry)
-    if isinstance(seen, Snapshot):
-        apply_gateway_snapshot(gw, seen)
+        listing = await _list_joint_start(gw, entry)
+    if isinstance(listing, Snapshot):
+        apply_gateway_snapshot(gw, listing)
     now = clock.now()
     if not gw.peers.is_relay(now):
         gw.feed_valid_until = now + start_hold_s(gw.peers.fleet_size, gw.rng.random())
     await start_watchers(gw)
-    await _follow_gateways(gw, seen)
+    await _follow_gateways(gw, listing)
     await curio.spawn(subscribe, gw, daemon=True)
     if not registered:
         await _register(gw, entry)
 
 
 async def _list_joint_start(gw: Gateway, entry: GatewayEntry) -> Snapshot | Unavailable:
-    """The list of gateways once those that start with this one have registered."""
+    """The list of gateways once those that start together with this one have registered."""
     await curio.sleep(JOINT_START_S)
     for _ in range(MAX_LISTS):
-        seen = await list_kind(gw.store, GATEWAY_KIND, stale_ok=True)
-        if _is_registered(gw, seen, entry):
+        listing = await list_kind(gw.store, GATEWAY_KIND, stale_ok=True)
+        if _is_registered(gw, listing, entry):
             break
         await curio.sleep(LIST_RETRY_S)
-    return seen
+    return listing
 
 
-async def _follow_gateways(gw: Gateway, seen: Snapshot | Unavailable) -> None:
-    """Follow the gateways' entries, on from what was listed."""
+async def _follow_gateways(gw: Gateway, listing: Snapshot | Unavailable) -> None:
+    """Replicate the gateways' entries, starting from the given list."""
     handlers = Handlers(
         lambda snapshot: apply_gateway_snapshot(gw, snapshot),
         lambda change: None if change.removed else apply_gateway_entry(gw, change.obj),
         lambda at: None,
     )
     await watch_kind(gw, GATEWAY_KIND, handlers, SLOW_WATCH_TIMEOUT_S, FALLBACK_DELAY_S)
-    if isinstance(seen, Snapshot):
-        await gw.replicas[GATEWAY_KIND].apply_snapshot(seen, float("-inf"))
+    if isinstance(listing, Snapshot):
+        await gw.replicas[GATEWAY_KIND].apply_snapshot(listing, float("-inf"))
 
 
 async def _register(gw: Gateway, entry: GatewayEntry) -> None:
-    """Write the own entry, however long the store is away."""
+    """Write the own entry; retries as long as the store is unavailable."""
     while not isinstance(await put(gw.store, GATEWAY_KIND, gw.cfg["name"], entry), StoredObject):
         await curio.sleep(REGISTER_RETRY_S)
     logger.info("entered among the gateways", addr=entry["addr"])
 
 
-def _is_registered(gw: Gateway, seen: Snapshot | Unavailable, entry: GatewayEntry) -> bool:
-    """Whether a list shows the own entry as it is."""
-    if isinstance(seen, Unavailable):
+def _is_registered(gw: Gateway, listing: Snapshot | Unavailable, entry: GatewayEntry) -> bool:
+    """Whether a list contains the own entry with its current contents."""
+    if isinstance(listing, Unavailable):
         return False
-    return any(obj.name == gw.cfg["name"] and obj.spec == entry for obj in seen.objects)
+    return any(obj.name == gw.cfg["name"] and obj.spec == entry for obj in listing.objects)
--- a/ramppost/gateway/loading.py
+++ b/ramppost/gateway/loading.py
@@ -78,13 +78,13 @@
     """Try the sources in order; returns whether one of them returned the object."""
     for source in _sources(gw, task):
         started_at = clock.now()
-        got = await source.load()
+        loaded = await source.load()
         now = clock.now()
-        result = "failed" if isinstance(got, LoadFailed) else "loaded"
+        result = "failed" if isinstance(loaded, LoadFailed) else "loaded"
         gw.metrics.count("ramppost_large_objects_total", result=result)
         logger.info(
             "large object {}",
-            f"not loaded: {got.reason}" if isinstance(got, LoadFailed) else "loaded",
+            f"not loaded: {loaded.reason}" if isinstance(loaded, LoadFailed) else "loaded",
             kind=task.replica.kind,
             name=task.name,
             revision=task.pending.revision,
@@ -92,8 +92,8 @@
             took_s=round(now - started_at, 3),
             lacking_s=round(now - task.pending.since, 3),
         )
-        if isinstance(got, StoredObject):
-            await task.replica.apply_object(got)
+        if isinstance(loaded, StoredObject):
+            await task.replica.apply_object(loaded)
             return True
     return False
 
@@ -127,20 +127,20 @@
     }
     path = f"{COPY_PATH}?{urlencode(query)}"
     addr = gw.peers.addrs[peer]
-    got = await fetch(gw.store.pool, addr, "GET", path, timeout_s=COPY_TIMEOUT_S)
-    if isinstance(got, CallFailed):
-        return LoadFailed(got.reason)
-    if got.status != 200:
-        return LoadFailed(f"status {got.status}")
-    obj = unpack(task.name, got.body)
+    answer = await fetch(gw.store.pool, addr, "GET", path, timeout_s=COPY_TIMEOUT_S)
+    if isinstance(answer, CallFailed):
+        return LoadFailed(answer.reason)
+    if answer.status != 200:
+        return LoadFailed(f"status {answer.status}")
+    obj = unpack(task.name, answer.body)
     return LoadFailed(obj.reason) if isinstance(obj, BadMessage) else obj
 
 
 async def _read_from_store(gw: Gateway, task: LoadTask) -> StoredObject | LoadFailed:
     """Read the object's current revision from the store."""
-    got = await read(gw.store, task.replica.kind, task.name)
-    if isinstance(got, Unavailable):
-        return LoadFailed(got.reason)
-    if isinstance(got, Missing):
+    result = await read(gw.store, task.replica.kind, task.name)
+    if isinstance(result, Unavailable):
+        return LoadFailed(result.reason)
+    if isinstance(result, Missing):
         return LoadFailed("removed from the store")
-    return got
+    return result
--- a/ramppost/gateway/main.py
+++ b/ramppost/gateway/main.py
@@ -1,4 +1,4 @@
-"""Starts a gateway, reloads its settings, and stops it as planned."""
+"""Starts a gateway, reloads its settings and runs its planned stop."""
 
 from __future__ import annotations
 
@@ -34,21 +34,24 @@
 BAD_SETTINGS_EXIT_CODE: Final = 2
 SETTINGS_POLL_S: Final = 1.0
 MIN_STOP_S: Final = 2.5
-"""The balancer asks every second and takes a box out after two misses; then idle connections
-are closed, and streams that still come in are refused, since they may outlast the stop."""
+"""Shortest planned stop: the load balancer checks health every second and removes a box after two
+failures.  After that, idle connections are closed and new streams are refused, since they may
+outlast the stop."""
 STOP_MARGIN_S: Final = 0.7
-"""Kept from the time a planned stop may take, to end by ourselves."""
+"""How long before the limit `stop_s` a planned stop ends, so that the process exits by itself."""
 MAX_PLAIN_CALL_S: Final = 1.5
-"""What a plain call may take: the last ones are taken so long before a stop's end."""
+"""Longest duration of a non-streaming request; none is accepted later than this before the end of
+a stop."""
 INITIAL_STATE_TIMEOUT_S: Final = 0.4
-"""The store answers in milliseconds; without it, callers are soon told to come back."""
+"""How long the start waits for the first configuration and upstreams: the store answers in
+milliseconds, and without it callers should soon get a response that tells them to retry."""
 INITIAL_STATE_POLL_S: Final = 0.005
 STOP_POLL_S: Final = 0.05
 METRICS_CONTENT_TYPE: Final = "text/plain; version=0.0.4"
 
 
 def main(path: str, early_socket: socket.socket | None = None) -> None:
-    """Run a gateway with a settings file; `early` already listens where callers connect."""
+    """Run a gateway; `early_socket` already listens on the callers' address."""
     cfg = read_settings(path)
     if isinstance(cfg, BadSettings):
         print(cfg.reason, file=sys.stderr)
@@ -63,7 +66,7 @@
 async def run(
     cfg: GatewaySettings, path: str, signals: Signals, early_socket: socket.socket | None
 ) -> None:
-    """Run until a signal asks for a planned stop."""
+    """Run until a signal requests a planned stop."""
     gw = Gateway(cfg)
     logger.info("starting", addr=cfg["listen"], hall=cfg["hall"], store=cfg["store"]["addr"])
     await curio.spawn(join, gw, daemon=True)
@@ -71,16 +74,16 @@
     await curio.spawn(
         serve_http, listen(*parse_address(cfg["health"])), _health_handler(gw), daemon=True
     )
-    inner = listen(cfg["ip"], cfg["internal_port"])
-    await curio.spawn(serve_http, inner, internal_handler(gw), daemon=True)
+    internal_socket = listen(cfg["ip"], cfg["internal_port"])
+    await curio.spawn(serve_http, internal_socket, internal_handler(gw), daemon=True)
     await curio.spawn(
         gw.datagrams.listen, cfg["ip"], cfg["internal_port"], _datagram_handler(gw), daemon=True
     )
     await curio.spawn(load_pending, gw, daemon=True)
     await curio.spawn(gw.fatal.tell, daemon=True)
     await curio.spawn(keep_document, gw, daemon=True)
-    metrics = listen(cfg["ip"], cfg["metrics_port"])
-    await curio.spawn(serve_http, metrics, _metrics_handler(gw), daemon=True)
+    metrics_socket = listen(cfg["ip"], cfg["metrics_port"])
+    await curio.spawn(serve_http, metrics_socket, _metrics_handler(gw), daemon=True)
     doorway = ServerHooks(
         limits=lambda: gw.limits,
         is_closing=lambda: gw.draining,
@@ -88,27 +91,27 @@
         refusal_body=_bad_request_body,
     )
     await _wait_for_initial_state(gw)
-    callers = (
+    caller_socket = (
         curio.io.Socket(early_socket)
         if early_socket is not None
         else listen(*parse_address(cfg["listen"]))
     )
-    await curio.spawn(accept_callers, callers, gw.callers, doorway, daemon=True)
+    await curio.spawn(accept_callers, caller_socket, gw.callers, doorway, daemon=True)
     await curio.spawn(_poll_settings, gw, path, daemon=True)
-    while (number := await signals.wait()) == signal.SIGHUP:
+    while (signal_number := await signals.wait()) == signal.SIGHUP:
         reload_settings(gw, path)
-    await _stop(gw, number)
+    await _stop(gw, signal_number)
 
 
 async def _wait_for_initial_state(gw: Gateway) -> None:
-    """Wait for a configuration and upstreams, so that the first callers are not refused."""
-    until = clock.now() + INITIAL_STATE_TIMEOUT_S
-    while clock.now() < until and (gw.table is None or not gw.members_listed):
+    """Wait for the configuration and upstreams, so that the first callers are not refused."""
+    deadline = clock.now() + INITIAL_STATE_TIMEOUT_S
+    while clock.now() < deadline and (gw.table is None or not gw.members_listed):
         await curio.sleep(INITIAL_STATE_POLL_S)
 
 
 def reload_settings(gw: Gateway, path: str) -> None:
-    """Take the settings file in again; a faulty one leaves what was in force."""
+    """Reload the settings file; an invalid one leaves the current settings in force."""
     cfg = read_settings(path)
     if isinstance(cfg, BadSettings):
         logger.error("settings not reloaded: {}", cfg.reason)
@@ -119,13 +122,13 @@
 
 
 async def _poll_settings(gw: Gateway, path: str) -> None:
-    """Reload when the file changes without a signal."""
-    seen = _modified_at(path)
+    """Reload the settings when the file changes without a signal."""
+    last_modified_at = _modified_at(path)
     while True:
         await curio.sleep(SETTINGS_POLL_S)
-        now = _modified_at(path)
-        if now != seen:
-            seen = now
+        modified_at = _modified_at(path)
+        if modified_at != last_modified_at:
+            last_modified_at = modified_at
             reload_settings(gw, path)
 
 
@@ -136,44 +139,48 @@
         return 0.0
 
 
-async def _stop(gw: Gateway, number: int) -> None:
-    """Planned stop: not ready at once, new work taken until callers have gone, none cut."""
-    began = clock.now()
+async def _stop(gw: Gateway, signal_number: int) -> None:
+    """Run a planned stop.
+
+    The gateway reports that it is not ready at once, but accepts new requests until the callers
+    have moved to other gateways, and does not interrupt requests under way.
+    """
+    started_at = clock.now()
     gw.draining = True
-    logger.info("stopping", signal=number, busy=gw.callers.busy)
-    until = began + gw.cfg["timing"]["stop_s"] - STOP_MARGIN_S
-    gw.resume_at = until + RESTART_S
+    logger.info("stopping", signal=signal_number, busy=gw.callers.busy)
+    deadline = started_at + gw.cfg["timing"]["stop_s"] - STOP_MARGIN_S
+    gw.resume_at = deadline + RESTART_S
     await curio.spawn(tell_leaving, gw, daemon=True)
     await curio.sleep(MIN_STOP_S)
     gw.refusal_scope = "streams"
-    while (now := clock.now()) < until and gw.callers.busy:
-        if now > until - MAX_PLAIN_CALL_S:
+    while (now := clock.now()) < deadline and gw.callers.busy:
+        if now > deadline - MAX_PLAIN_CALL_S:
             gw.refusal_scope = "all"
         gw.callers.close_idle()
         await curio.sleep(STOP_POLL_S)
-    logger.info("stopped", left_busy=gw.callers.busy, after_s=round(now - began, 2))
+    logger.info("stopped", left_busy=gw.callers.busy, after_s=round(now - started_at, 2))
 
 
 def _datagram_handler(gw: Gateway) -> Take:
-    """What becomes of datagrams of other gateways."""
-
-    async def take(msg: PeerDatagram, addr: Address) -> None:
-        if "leaving" in msg:
-            heard_leaving(gw, msg["leaving"])
-        elif "ended" in msg or "harmless" in msg:
-            if "ended" in msg and msg["ended"]["gone"]:
-                gw.members.ended(msg["ended"]["upstream"], clock.now())
-            gw.fatal.take(msg)
+    """The handler of datagrams from other gateways."""
+
+    async def take(message: PeerDatagram, addr: Address) -> None:
+        if "leaving" in message:
+            heard_leaving(gw, message["leaving"])
+        elif "ended" in message or "harmless" in message:
+            if "ended" in message and message["ended"]["gone"]:
+                gw.members.ended(message["ended"]["upstream"], clock.now())
+            gw.fatal.take(message)
         else:
-            await gw.backlogs.take(msg, addr)
+            await gw.backlogs.take(message, addr)
 
     return take
 
 
-def _bad_request_body(bad: BadRequest) -> bytes:
-    code = {408: "too_slow", 413: "too_large", 431: "too_large"}.get(bad.status, "bad_request")
-    logger.info("request not read: {}", bad.reason, status=bad.status)
-    return error_body(refusal(code, bad.reason))
+def _bad_request_body(error: BadRequest) -> bytes:
+    code = {408: "too_slow", 413: "too_large", 431: "too_large"}.get(error.status, "bad_request")
+    logger.info("request not read: {}", error.reason, status=error.status)
+    return error_body(refusal(code, error.reason))
 
 
 def _health_handler(gw: Gateway) -> Handler:
--- a/ramppost/gateway/operators.py
+++ b/ramppost/gateway/operators.py
@@ -1,8 +1,8 @@
-"""The intent API at a gateway: plan and confirm a change of policies, look at reports.
+"""The intent API of a gateway: plan and confirm policy changes, read status and reports.
 
-The same paths, tokens and messages as an entry's, so the same commands work.  Plans and
-the document of policies lie in the store; a confirmation is one conditional write.  What the
-platform decides (routes, keys, versions) can't be changed here.
+It has the same paths, tokens and messages as the API of an entry, so the same commands work.
+Plans and the policy document are in the store; a confirmation is one conditional write.  What
+the platform decides (routes, keys, versions) can't be changed here.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 REPORT_PATH: Final = "/x/report"
 PEER_TIMEOUT_S: Final = 2.0
 RETRY_AFTER_S: Final = 2.0
-"""When to come back where the store gave no answer."""
+"""Retry delay given to the operator if the store gave no answer."""
 REQUIRED_ROLES: Final = {"/v1/intents": "plan", "/v1/status": "read", "/v1/report": "read"}
 ALLOWED_INTENTS: Final = ("cascade", "compare", "end_compare")
 
@@ -62,7 +62,7 @@
 
 
 def internal_handler(gw: Gateway) -> Handler:
-    """What other gateways and operators may ask."""
+    """The handler of requests from other gateways and from operators."""
     serve_feed = feed_handler(gw)
     serve_copy = copies(gw)
 
@@ -82,12 +82,12 @@
 
 
 async def _serve_operator(gw: Gateway, req: Request, reply: Reply) -> None:
-    out = await _answer(gw, req)
-    if isinstance(out, Refusal):
-        logger.info("operator refused: {}", out.message, code=out.code, path=req.path)
-        await reply.send(out.status, error_body(out))
+    result = await _answer(gw, req)
+    if isinstance(result, Refusal):
+        logger.info("operator refused: {}", result.message, code=result.code, path=req.path)
+        await reply.send(result.status, error_body(result))
     else:
-        await reply.send(200, out)
+        await reply.send(200, result)
 
 
 async def _answer(gw: Gateway, req: Request) -> bytes | Refusal:
@@ -132,19 +132,19 @@
         effect=expected_effect(config, intent, 1.0),
         result=encode(from_config(changed, plan_id, operator["name"])).decode(),
     )
-    out = await create(gw.store, PLAN_KIND, plan_id, plan)
-    if not isinstance(out, StoredObject):
-        return _store_refusal(out)
+    created = await create(gw.store, PLAN_KIND, plan_id, plan)
+    if not isinstance(created, StoredObject):
+        return _store_refusal(created)
     return encode(plan | {"result": ""})
 
 
 async def _confirm_plan(gw: Gateway, operator: Operator, plan_id: str) -> bytes | Refusal:
-    found = await read(gw.store, PLAN_KIND, plan_id)
-    if isinstance(found, Missing):
+    stored = await read(gw.store, PLAN_KIND, plan_id)
+    if isinstance(stored, Missing):
         return refusal("not_found", f"no such plan: {plan_id}")
-    if isinstance(found, Unavailable):
-        return _store_refusal(found)
-    plan = decode(encode(found.spec), Plan)
+    if isinstance(stored, Unavailable):
+        return _store_refusal(stored)
+    plan = decode(encode(stored.spec), Plan)
     assert not isinstance(plan, BadMessage), plan
     doc = decode(plan["result"].encode(), PolicyDoc)
     assert not isinstance(doc, BadMessage), doc
@@ -153,19 +153,22 @@
 
 
 async def _write_policies(gw: Gateway, plan: Plan, doc: PolicyDoc) -> bytes | Refusal:
-    """Put a document in force; confirming again, or after a lost answer, finds it there."""
-    out = await replace(gw.store, POLICY_KIND, POLICY_NAME, plan["revision"], doc)
-    if not isinstance(out, StoredObject):
+    """Put a policy document in force.
+
+    A repeated confirmation, or one after a lost response, finds the document already stored.
+    """
+    written = await replace(gw.store, POLICY_KIND, POLICY_NAME, plan["revision"], doc)
+    if not isinstance(written, StoredObject):
         stored = await read(gw.store, POLICY_KIND, POLICY_NAME)
         if isinstance(stored, Unavailable):
-            code = "confirm_unknown" if isinstance(out, Unavailable) else "platform_down"
+            code = "confirm_unknown" if isinstance(written, Unavailable) else "platform_down"
             return refusal(code, f"the store gave no answer: {stored.reason}", RETRY_AFTER_S)
         if isinstance(stored, Missing) or stored.spec.get("plan_id") != plan["plan_id"]:
             return _stale_plan_refusal(plan, stored)
-        out = stored
-    gw.policies.seen(out)
-    logger.info("plan confirmed", plan=plan["plan_id"], revision=out.revision)
-    return encode({"plan_id": plan["plan_id"], "revision": out.revision})
+        written = stored
+    gw.policies.seen(written)
+    logger.info("plan confirmed", plan=plan["plan_id"], revision=written.revision)
+    return encode({"plan_id": plan["plan_id"], "revision": written.revision})
 
 
 def _stale_plan_refusal(plan: Plan, stored: StoredObject | Missing) -> Refusal:
@@ -173,12 +176,12 @@
     return refusal("stale_plan", f"made for revision {plan['revision']}, now {now}: plan again")
 
 
-def _store_refusal(out: Unavailable | Conflict) -> Refusal:
-    why = out.reason if isinstance(out, Unavailable) else "the object is there already"
-    return refusal("platform_down", f"the store gave no answer: {why}", RETRY_AFTER_S)
+def _store_refusal(failure: Unavailable | Conflict) -> Refusal:
+    reason = failure.reason if isinstance(failure, Unavailable) else "the object is there already"
+    return refusal("platform_down", f"the store gave no answer: {reason}", RETRY_AFTER_S)
 
 
-# --- reports
+# --- status and reports
 
 
 def _own_status(gw: Gateway) -> EntryStatus:
@@ -192,10 +195,12 @@
 
 
 async def _status(gw: Gateway) -> StatusReport:
-    """The revision of the policies in force at every gateway that is known."""
-    found = await _ask_peers(gw, STATUS_PATH, EntryStatus)
+    """The revision of the policies in force at every known gateway."""
+    statuses = await _ask_peers(gw, STATUS_PATH, EntryStatus)
     lines = [_process_status(gw.cfg["name"], "", _own_status(gw))]
-    lines += [_process_status(name, gw.peers.addrs[name], status) for name, status in found.items()]
+    lines += [
+        _process_status(name, gw.peers.addrs[name], status) for name, status in statuses.items()
+    ]
     rollouts = [f"{r.order.service}: {r.order.version} {r.order.state}" for r in gw.rollouts.all()]
     return StatusReport(revision=gw.policies.revision, rollouts=rollouts, processes=lines)
 
@@ -212,14 +217,14 @@
 
 
 async def _reports(gw: Gateway) -> list[Report]:
-    """The reports of all gateways that answer."""
-    found = await _ask_peers(gw, REPORT_PATH, Report)
+    """The reports of all gateways that answer, this one first."""
+    reports = await _ask_peers(gw, REPORT_PATH, Report)
     own = gw.counts.report(gw.cfg["name"])
-    return [own, *(report for report in found.values() if report is not None)]
+    return [own, *(report for report in reports.values() if report is not None)]
 
 
 async def _ask_peers(gw: Gateway, path: str, kind: type[T]) -> dict[str, T | None]:
-    """What every other gateway answers, None where one does not."""
+    """The response of every other gateway; None for one that does not answer."""
     tasks = {
         name: await curio.spawn(_ask_peer, gw, addr, path, kind)
         for name, addr in gw.peers.addrs.items()
@@ -228,9 +233,9 @@
 
 
 async def _ask_peer(gw: Gateway, addr: str, path: str, kind: type[T]) -> T | None:
-    got = await call(gw.store.pool, addr, "GET", path, timeout_s=PEER_TIMEOUT_S)
-    if isinstance(got, CallFailed) or got.status != 200:
+    answer = await call(gw.store.pool, addr, "GET", path, timeout_s=PEER_TIMEOUT_S)
+    if isinstance(answer, CallFailed) or answer.status != 200:
         logger.info("gateway does not answer", addr=addr, path=path)
         return None
-    found: Any = decode(got.body, kind)
-    return None if isinstance(found, BadMessage) else found
+    decoded: Any = decode(answer.body, kind)
+    return None if isinstance(decoded, BadMessage) else decoded
--- a/ramppost/gateway/peers.py
+++ b/ramppost/gateway/peers.py
@@ -1,4 +1,4 @@
-"""Entries of gateways in the store: what each says of itself, and what is known by others'."""
+"""Entries of gateways in the store: the own one, and applying those of the others."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def own_entry(gw: Gateway) -> GatewayEntry:
-    """What this gateway says of itself."""
+    """This gateway's own entry."""
     return GatewayEntry(
         addr=f"{gw.cfg['ip']}:{gw.cfg['internal_port']}",
         hall=gw.cfg["hall"],
@@ -31,7 +31,7 @@
 
 
 def apply_gateway_snapshot(gw: Gateway, snapshot: Snapshot) -> None:
-    """Take in a list of gateways."""
+    """Apply a full list of gateways."""
     for obj in snapshot.objects:
         apply_gateway_entry(gw, obj)
     gw.peers.listed = True
@@ -39,12 +39,12 @@
 
 
 def apply_gateway_entry(gw: Gateway, obj: StoredObject) -> None:
-    """Take in a gateway's entry."""
+    """Apply a gateway's entry."""
     entry = gw.unreadable.decoded(GATEWAY_KIND, obj, GatewayEntry)
     if entry is None:
         return
     if not is_address(entry["addr"]):
-        gw.unreadable.note(GATEWAY_KIND, obj, f"no address: {entry['addr']!r}")
+        gw.unreadable.note(GATEWAY_KIND, obj, f"invalid address: {entry['addr']!r}")
         return
     if gw.peers.put(obj.name, entry["addr"], entry["hall"], entry.get("link_mbps", 0.0)):
         logger.info("gateway known", peer=obj.name, addr=entry["addr"])
--- a/ramppost/gateway/settings.py
+++ b/ramppost/gateway/settings.py
@@ -1,8 +1,8 @@
 """Reads a gateway's settings file.
 
-The file is JSON with whole-line comments.  It is read at every start of a process that
-may have a small part of a core, so it is checked against the generated types by
-`msgspec` alone; `ramppost check-config` also checks ranges and addresses.
+The file is JSON with whole-line comments.  It is read at every start of a process that may have
+only a small share of a core, so it is validated against the generated types by `msgspec` alone;
+`ramppost check-config` also checks ranges and addresses.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 
 class BadSettings(NamedTuple):
-    """Why a settings file can't be used: file, field and mend in one line."""
+    """Why a settings file is invalid: the file, the field and how to fix it, in one line."""
 
     reason: str
 
 
 def read_settings(path: str) -> GatewaySettings | BadSettings:
-    """The settings of a file.
+    """Read and validate a settings file.
 
     >>> read_settings("/nowhere")
     BadSettings(reason="/nowhere: can't be read (No such file or directory); name a readable file")
@@ -32,7 +32,7 @@
     except (OSError, UnicodeDecodeError) as exc:
         why = exc.strerror if isinstance(exc, OSError) else "not UTF-8 text"
         return BadSettings(f"{path}: can't be read ({why}); name a readable file")
-    found = decode(strip_comments(text).encode(), GatewaySettings)
-    if isinstance(found, BadMessage):
-        return BadSettings(f"{path}: {found.reason}; see docs/operators/settings.md")
-    return found
+    settings = decode(strip_comments(text).encode(), GatewaySettings)
+    if isinstance(settings, BadMessage):
+        return BadSettings(f"{path}: {settings.reason}; see docs/operators/settings.md")
+    return settings
--- a/ramppost/gateway/state.py
+++ b/ramppost/gateway/state.py
@@ -52,7 +52,7 @@
 
 
 class Gateway:
-    """State of a gateway.  Times are in seconds of the monotonic clock."""
+    """State of a gateway.  Times are in seconds of the steady clock."""
 
     def __init__(self, cfg: GatewaySettings) -> None:
         self.cfg = cfg
@@ -68,11 +68,11 @@
         self.replicas: dict[str, KindReplica] = {}
         """The local replica of each kind of object in the store."""
         self.feed_valid_until = float("-inf")
-        """Until when another gateway is expected to keep this one up to date (monotonic clock)."""
+        """Until when another gateway is expected to keep this one up to date (steady clock)."""
         self.members = Members()
         self.members_listed = False
         self.evacuated_halls: dict[str, float] = {}
-        """Evacuated data halls and when this gateway learned of it (monotonic clock)."""
+        """Evacuated data halls and when this gateway learned of it (steady clock)."""
         self.evacuations_known = cfg["timing"].get("evacuate_ms", 0) <= 0
         """Whether evacuations have been listed; always true if the settings disable them."""
         self.unreadable = Unreadable()
@@ -156,12 +156,12 @@
     def retry_budget_of(self, service: str) -> WindowBudget:
         """This gateway's share of a service's retry budget."""
         retries = self.cfg["retries"]
-        found = self.retry_budgets.get(service)
-        if found is None:
-            found = WindowBudget(retries["ratio"] * SHARED_FRACTION, retries["window_s"], 0.0)
-            self.retry_budgets[service] = found
-        found.slack = slack_per_gateway(retries["slack"], self.peers.fleet_size)
-        return found
+        budget = self.retry_budgets.get(service)
+        if budget is None:
+            budget = WindowBudget(retries["ratio"] * SHARED_FRACTION, retries["window_s"], 0.0)
+            self.retry_budgets[service] = budget
+        budget.slack = slack_per_gateway(retries["slack"], self.peers.fleet_size)
+        return budget
 
     def assume_warming_up(self, upstream: Upstream, now: float) -> None:
         """Treat an upstream as warming up before its entry reports that it is."""
--- a/ramppost/gateway/subscribe.py
+++ b/ramppost/gateway/subscribe.py
@@ -1,7 +1,7 @@
 """Polls a relay's feed of the store's changes.
 
 The age in a relay's response and the time for which the relay held the request date its
-confirmation on the local monotonic clock, so it is never taken for younger than it is.  While a
+confirmation on the local steady clock, so it is never taken for younger than it is.  While a
 relay keeps up with the store, `Gateway.feed_valid_until` advances and the store is not queried.
 If the relay falls behind, other gateways are polled, and meanwhile the store itself is queried.
 A relay that lost the store polls other gateways too, and keeps querying the store.
@@ -82,7 +82,7 @@
 class _Query(NamedTuple):
     """A feed request to a gateway.
 
-    `sent_at` is on the monotonic clock, `wait_s` limits how long the response may be held, and
+    `sent_at` is on the steady clock, `wait_s` limits how long the response may be held, and
     `starting` means that the urgent kinds are not all known here yet.
     """
 
@@ -97,20 +97,20 @@
     starting = not urgent_kinds_known(gw)
     wait_s = START_WAIT_S if starting else feed_wait_s(gw)
     query = _Query(name, clock.now(), wait_s, starting)
-    got = await _send_query(gw, query)
-    msg = BadMessage(got.reason) if isinstance(got, CallFailed) else _decode_feed(got)
+    answer = await _send_query(gw, query)
+    msg = BadMessage(answer.reason) if isinstance(answer, CallFailed) else _decode_feed(answer)
     gw.peers_reachable = not isinstance(msg, BadMessage)
     if isinstance(msg, BadMessage):
         logger.info("gateway does not answer: {}", msg.reason, peer=name)
-        _handle_no_answer(gw, query, isinstance(got, CallFailed) and not got.sent)
+        _handle_no_answer(gw, query, isinstance(answer, CallFailed) and not answer.sent)
         return False
     gw.peers.record_call(name, True, clock.now())
-    known_at = urgent_confirmed_at(gw)
+    previously_confirmed_at = urgent_confirmed_at(gw)
     await _apply_feed(gw, query, msg)
     if _is_behind(gw, query, msg):
         return _handle_behind(gw, query, msg)
     now = clock.now()
-    if not gw.peers.is_relay(now) and urgent_confirmed_at(gw) > known_at:
+    if not gw.peers.is_relay(now) and urgent_confirmed_at(gw) > previously_confirmed_at:
         # A relay that is cut off may return what it has got from this gateway, which confirms
         # nothing.
         gw.feed_valid_until = now + feed_wait_s(gw) + ANSWER_SLACK_S + FEED_GRACE_S
@@ -177,10 +177,10 @@
     return False
 
 
-def _decode_feed(got: Answer) -> FeedMsg | BadMessage:
-    if got.headers.get("content-type") != COMPRESSED_TYPE:
-        return decode(got.body, FeedMsg)
-    body = unpack(got.body)
+def _decode_feed(answer: Answer) -> FeedMsg | BadMessage:
+    if answer.headers.get("content-type") != COMPRESSED_TYPE:
+        return decode(answer.body, FeedMsg)
+    body = unpack(answer.body)
     return body if isinstance(body, BadMessage) else decode(body, FeedMsg)
 
 
@@ -210,14 +210,16 @@
     """Apply a kind's part of a response; `answered_at` is no later than when it was sent."""
     replica = gw.replicas[kind_msg["kind"]]
     # Data that was never confirmed there is applied, but confirms nothing here.
-    at = answered_at - kind_msg["age_ms"] / 1000 if kind_msg["age_ms"] >= 0 else float("-inf")
+    confirmed_at = (
+        answered_at - kind_msg["age_ms"] / 1000 if kind_msg["age_ms"] >= 0 else float("-inf")
+    )
     changes = [_decode_change(item) for item in kind_msg["changes"]]
     if kind_msg["full"]:
         objects = [change.obj for change in changes]
-        await replica.apply_snapshot(Snapshot(objects, kind_msg["revision"]), at, source)
+        await replica.apply_snapshot(Snapshot(objects, kind_msg["revision"]), confirmed_at, source)
     else:
         await replica.apply_changes(
-            kind_msg["since"], Changes(changes, kind_msg["revision"]), at, source
+            kind_msg["since"], Changes(changes, kind_msg["revision"]), confirmed_at, source
         )
 
 
--- a/ramppost/gateway/watchers.py
+++ b/ramppost/gateway/watchers.py
@@ -167,7 +167,7 @@
     await curio.spawn(follow, gw.store, follow_config, gw.store_outage, daemon=True)
 
 
-def _ignore_confirmation(at: float) -> None:
+def _ignore_confirmation(confirmed_at: float) -> None:
     """Handler for kinds where nothing depends on the age of the confirmation."""
 
 
@@ -219,28 +219,28 @@
 
 def apply_upstream_snapshot(gw: Gateway, snapshot: Snapshot) -> None:
     now = clock.now()
-    listed = [up for obj in snapshot.objects if (up := _decode_upstream(gw, obj)) is not None]
-    gw.members.replace_all(listed, now)
+    upstreams = [up for obj in snapshot.objects if (up := _decode_upstream(gw, obj)) is not None]
+    gw.members.replace_all(upstreams, now)
     gw.members_listed = True
     _forget_removed(gw)
-    logger.info("upstreams listed", count=len(listed), revision=snapshot.revision)
+    logger.info("upstreams listed", count=len(upstreams), revision=snapshot.revision)
 
 
 def _decode_upstream(gw: Gateway, obj: StoredObject) -> Upstream | None:
     """Decode an upstream's entry; an upstream whose entry is invalid is no longer used."""
-    found = upstream(obj)
-    if isinstance(found, BadMessage):
-        gw.unreadable.note(names.UPSTREAM_KIND, obj, found.reason)
+    decoded = upstream(obj)
+    if isinstance(decoded, BadMessage):
+        gw.unreadable.note(names.UPSTREAM_KIND, obj, decoded.reason)
         gw.members.drop(obj.name)
         return None
-    gw.warmups.note_entry(found, warmup_left_s(obj), clock.now())
-    return found
+    gw.warmups.note_entry(decoded, warmup_left_s(obj), clock.now())
+    return decoded
 
 
 def _forget_removed(gw: Gateway) -> None:
     """Drop the state kept for upstreams that have left or restarted."""
-    for gone in gw.members.take_gone():
-        gw.forget(gone.key)
+    for removed in gw.members.take_gone():
+        gw.forget(removed.key)
 
 
 def apply_upstream_change(gw: Gateway, change: Change) -> None:
@@ -250,26 +250,26 @@
             logger.info("upstream's entry gone", upstream=change.obj.name)
         _forget_removed(gw)
         return
-    found = _decode_upstream(gw, change.obj)
-    if found is not None and gw.members.put(found):
+    decoded = _decode_upstream(gw, change.obj)
+    if decoded is not None and gw.members.put(decoded):
         logger.info(
             "upstream {}",
-            "leaving" if found.leaving else "there",
-            upstream=found.id,
-            service=found.service,
-            version=found.version,
-            addr=found.addr,
-            born=found.born,
+            "leaving" if decoded.leaving else "there",
+            upstream=decoded.id,
+            service=decoded.service,
+            version=decoded.version,
+            addr=decoded.addr,
+            born=decoded.born,
         )
-    if found is not None and found.leaving:
-        gw.links.drop_upstream(found.key)
+    if decoded is not None and decoded.leaving:
+        gw.links.drop_upstream(decoded.key)
     _forget_removed(gw)
 
 
 def _apply_rollout_snapshot(gw: Gateway, snapshot: Snapshot) -> None:
-    listed = {obj.name for obj in snapshot.objects}
+    services = {obj.name for obj in snapshot.objects}
     for running in gw.rollouts.all():
-        if running.order.service not in listed:
+        if running.order.service not in services:
             gw.rollouts.removed(running.order.service)
     for obj in snapshot.objects:
         _apply_rollout(gw, obj)
@@ -320,7 +320,7 @@
     while True:
         await curio.sleep(SWEEP_INTERVAL_S)
         now = clock.now()
-        for gone in gw.members.sweep(now):
-            logger.info("upstream dropped: its entry did not come back", upstream=gone.id)
+        for dropped in gw.members.sweep(now):
+            logger.info("upstream dropped: its entry did not come back", upstream=dropped.id)
         _forget_removed(gw)
         gw.links.close_expired(now)
