--- a/ramppost/gateway/serve.py
+++ b/ramppost/gateway/serve.py
@@ -1,8 +1,8 @@
-"""Serves one request: admit it, find an upstream that answers, pass the answer on.
+"""Serves a request: admits it, finds an upstream that responds, and forwards the response.
 
-A request that may run again is tried again, within its route's attempts and the
-gateway's part of the retry budget, as long as its caller has seen nothing of an answer.
-A stream that breaks off is taken up after its last event, inside the same answer.
+A repeatable request is retried until the caller has been sent part of a response, limited by the
+attempts of its route and by this gateway's share of the retry budget.  A stream that breaks off
+is resumed after its last event, within the same response.
 """
 
 from __future__ import annotations
@@ -33,48 +33,48 @@
 from ramppost.wire.server import Gone
 
 MAX_CONNECT_FAILURES: Final = 4
-"""Upstreams that can't be reached cost no retry, but time."""
-REFUSED_S: Final = 1.0
-"""How long an upstream is left out whose box refuses connections: until its entry goes, if it has
-ended, and not for long, if it only had too many."""
-NO_ROOM_RETRY_S: Final = 0.4
-"""When to come back to a service that refused: some answers have ended by then."""
-LEAST_LEFT_S: Final = 0.01
-WARMUP_WAIT_OF_OBJECTIVE: Final = 0.1
+"""Failed connections are not counted as retries, but they take time."""
+REFUSED_EXCLUSION_S: Final = 1.0
+"""How long an upstream is excluded after its box refused a connection: until the entry of an
+upstream that has ended is removed, and briefly for one that only had too many connections."""
+OVERLOAD_RETRY_S: Final = 0.4
+"""Retry delay after a service refused a request; some of its responses have ended by then."""
+MIN_TIMEOUT_S: Final = 0.01
+MAX_WARMUP_WAIT_RATIO: Final = 0.1
 """Fraction of its objective for which a request may wait when all suitable upstreams are warming
 up.  The remainder is left for serving the request."""
 
 
 async def serve(gw: Gateway, req: CallerRequest, reply: Reply, read_at: float) -> None:
-    """Serve a request that was read whole at `read_at`; raises Gone to close the connection."""
+    """Serve a request that was fully read at `read_at`; raises Gone to close the connection."""
     admitted = admit(gw, req)
     if isinstance(admitted, Refusal):
-        await _refuse(gw, req, reply, admitted, read_at)
+        await _send_refusal(gw, req, reply, admitted, read_at)
         return
     job = Job(req, admitted, read_at)
     if admitted.workspace is not None and not gw.freshness.holds(read_at):
         gw.metrics.count("ramppost_requests_on_unconfirmed_keys_total")
-    failed: Refusal | None = None
+    failure: Refusal | None = None
     try:
-        async with curio.timeout_after(max(LEAST_LEFT_S, job.left_s(clock.now()))):
-            failed = await _answer(gw, job, reply)
+        async with curio.timeout_after(max(MIN_TIMEOUT_S, job.left_s(clock.now()))):
+            failure = await _process(gw, job, reply)
     except curio.TaskTimeout:
-        failed = _time_is_up(job)
+        failure = _timeout_refusal(job)
     except (Gone, curio.CancelledError):
-        _note_end(gw, job, "caller left", reply.status, read_at)
+        _record_end(gw, job, "caller left", reply.status, read_at)
         raise
-    gw.counts.ended(_ended(job, failed is None, clock.now()))
-    if failed is None:
-        _note_end(gw, job, "served", reply.status, read_at)
+    gw.counts.ended(_ended_record(job, failure is None, clock.now()))
+    if failure is None:
+        _record_end(gw, job, "served", reply.status, read_at)
     elif reply.started:
-        _note_end(gw, job, f"broken off: {failed.message}", reply.status, read_at)
+        _record_end(gw, job, f"broken off: {failure.message}", reply.status, read_at)
         raise Gone
     else:
-        await _refuse(gw, req, reply, failed, read_at, job.fingerprint)
+        await _send_refusal(gw, req, reply, failure, read_at, job.fingerprint)
 
 
-async def _answer(gw: Gateway, job: Job, reply: Reply) -> Refusal | None:
-    """Find who answers and pass it on; a refusal where nobody did."""
+async def _process(gw: Gateway, job: Job, reply: Reply) -> Refusal | None:
+    """Find an upstream that responds and forward its response; a refusal if there is none."""
     service = select_service(job)
     budget = gw.retry_budget_of(service)
     began_at = clock.now()
@@ -82,26 +82,26 @@
     plan = plan_models(gw, job, budget.available(began_at) >= 1)
     model = plan.models[0]
     while True:
-        got = await _try_upstreams(gw, job, service, model, reply)
-        if isinstance(got, Refusal):
-            return got
-        larger = "" if reply.started else await choose_larger_model(gw, job, service, plan, got)
+        result = await _try_upstreams(gw, job, service, model, reply)
+        if isinstance(result, Refusal):
+            return result
+        larger = "" if reply.started else await choose_larger_model(gw, job, service, plan, result)
         if larger:
-            await release(got, False)
+            await release(result, False)
             model = larger
             job.tried_upstreams.clear()
             continue
-        # A stream that breaks off goes on with the model that began it.
+        # A stream that breaks off is resumed with the same model.
         plan = plan._replace(models=(model,))
-        failed = await _pass(gw, job, got, reply)
-        if failed is None:
+        broken = await _forward(gw, job, result, reply)
+        if broken is None:
             return None
         if job.route.repeat == "never" or (reply.started and not job.route.resumable):
-            return refusal("outcome_unknown", failed.reason)
+            return refusal("outcome_unknown", broken.reason)
 
 
-def _charge(job: Job, running: Running, tokens: float) -> None:
-    """Add what a model has read or made to the cost of its request, in tokens made."""
+def _add_cost(job: Job, running: Running, tokens: float) -> None:
+    """Add tokens to the cost of a request, at the model's price of output tokens."""
     engine = running.chosen.service.engine
     if engine is not None:
         job.cost += engine.prices.get(running.model, 0.0) * tokens / 1000
@@ -110,65 +110,68 @@
 async def _try_upstreams(
     gw: Gateway, job: Job, service: str, model: str, reply: Reply
 ) -> Running | Refusal:
-    """Try upstreams until one answers, or until there is no reason to go on."""
-    failures = 0
-    last = refusal("no_upstream", f"no upstream of {service} can be asked", NO_ROOM_RETRY_S)
+    """Try upstreams until one responds or no further attempt is allowed."""
+    connect_failures = 0
+    last_refusal = refusal(
+        "no_upstream", f"no upstream of {service} can be asked", OVERLOAD_RETRY_S
+    )
     while True:
         if gw.fatal.is_fatal(job.fingerprint):
-            return _fatal(job)
+            return _fatal_refusal(job)
         await query_backlogs(gw, job, service, model)
-        # After all that may take time: a process that was frozen finds its confirmation old here.
+        # Read the clock after every step that may take time, so that a process that was frozen
+        # notices here that its confirmation is too old.
         now = clock.now()
         if job.workspace is not None and not gw.freshness.may_start(now):
-            return _final(job, stale_refusal())
+            return _final_refusal(job, stale_refusal())
         chosen = pick(gw, job, service, model, now)
         wait_s = warmup_wait_s(gw, job, service, now) if chosen is None else None
         if wait_s:
-            if now + wait_s < job.read_at + WARMUP_WAIT_OF_OBJECTIVE * job.route.objective_s:
+            if now + wait_s < job.read_at + MAX_WARMUP_WAIT_RATIO * job.route.objective_s:
                 await curio.sleep(wait_s)
                 continue
-            return _final(job, _warming_up_refusal(gw, wait_s))
-        if chosen is None or not _may_send(gw, job, service):
-            return _final(job, last)
-        got = await attempt(gw, job, chosen, model)
-        if isinstance(got, Running):
+            return _final_refusal(job, _warming_up_refusal(gw, wait_s))
+        if chosen is None or not _may_attempt(gw, job, service):
+            return _final_refusal(job, last_refusal)
+        result = await attempt(gw, job, chosen, model)
+        if isinstance(result, Running):
             if job.req.prompt is not None:
-                _charge(job, got, INPUT_PRICE_RATIO * job.req.prompt.tokens_in)
-            if not _worth_another(gw, job, service, got, reply):
-                return got
-            await release(got, False)
-            job.failed_versions.add(got.chosen.upstream.version)
-            last = refusal("upstream_failed", f"upstream answered {got.head.status}")
-        elif isinstance(got, Refused):
-            last = refusal(
-                "overloaded", "upstreams have no room", got.retry_after_s or NO_ROOM_RETRY_S
+                _add_cost(job, result, INPUT_PRICE_RATIO * job.req.prompt.tokens_in)
+            if not _should_retry_status(gw, job, service, result, reply):
+                return result
+            await release(result, False)
+            job.failed_versions.add(result.chosen.upstream.version)
+            last_refusal = refusal("upstream_failed", f"upstream answered {result.head.status}")
+        elif isinstance(result, Refused):
+            last_refusal = refusal(
+                "overloaded", "upstreams have no room", result.retry_after_s or OVERLOAD_RETRY_S
             )
-        elif isinstance(got, NotSent):
-            failures += 1
-            if got.refused:
-                gw.members.ended(chosen.upstream.key, clock.now(), REFUSED_S)
-            last = refusal("no_upstream", got.reason, NO_ROOM_RETRY_S)
-            if failures >= MAX_CONNECT_FAILURES:
-                return _final(job, last)
+        elif isinstance(result, NotSent):
+            connect_failures += 1
+            if result.refused:
+                gw.members.ended(chosen.upstream.key, clock.now(), REFUSED_EXCLUSION_S)
+            last_refusal = refusal("no_upstream", result.reason, OVERLOAD_RETRY_S)
+            if connect_failures >= MAX_CONNECT_FAILURES:
+                return _final_refusal(job, last_refusal)
         else:
-            await handle_broken_response(gw, job, chosen.upstream, got, evidence_level(None, 0))
-            last = refusal("outcome_unknown", got.reason)
+            await handle_broken_response(gw, job, chosen.upstream, result, evidence_level(None, 0))
+            last_refusal = refusal("outcome_unknown", result.reason)
             if job.route.repeat == "never":
-                return last
+                return last_refusal
 
 
 def _warming_up_refusal(gw: Gateway, wait_s: float) -> Refusal:
-    """Refusal for when the warm-up limit of every suitable upstream is reached.
+    """The refusal of a request when every suitable upstream has reached its warm-up limit.
 
     Callers are told to retry once this gateway may send again, or earlier at a randomized time, as
     another gateway may have capacity left.
     """
-    spread_s = NO_ROOM_RETRY_S + gw.rng.random()
+    spread_s = OVERLOAD_RETRY_S + gw.rng.random()
     return refusal("overloaded", "upstreams are warming up", min(wait_s, spread_s))
 
 
-def _may_send(gw: Gateway, job: Job, service: str) -> bool:
-    """Whether one more upstream may be asked, by the route's attempts and the budget."""
+def _may_attempt(gw: Gateway, job: Job, service: str) -> bool:
+    """Whether the route's attempts and the retry budget allow one more attempt."""
     if job.attempts == 0:
         return True
     if job.counted_attempts >= job.route.attempts:
@@ -176,119 +179,125 @@
     return gw.retry_budget_of(service).take(clock.now())
 
 
-def _worth_another(gw: Gateway, job: Job, service: str, got: Running, reply: Reply) -> bool:
-    """Whether a failure that an upstream answered is not passed on but tried again."""
-    if got.head.status < 500 and not reply.started:
+def _should_retry_status(
+    gw: Gateway, job: Job, service: str, running: Running, reply: Reply
+) -> bool:
+    """Whether to retry instead of forwarding the error status that an upstream returned."""
+    if running.head.status < 500 and not reply.started:
         return False
-    if got.head.status < 400:
+    if running.head.status < 400:
         return False
-    judge_answer(gw, got, bad=got.head.status >= 500)
+    judge_answer(gw, running, bad=running.head.status >= 500)
     if reply.started:
         return True
     if job.route.repeat == "never" or job.counted_attempts >= job.route.attempts:
         return False
     now = clock.now()
-    enough = gw.retry_budget_of(service).available(now) >= 1
-    return enough and pick(gw, job, service, got.model, now) is not None
+    has_budget = gw.retry_budget_of(service).available(now) >= 1
+    return has_budget and pick(gw, job, service, running.model, now) is not None
 
 
-def _final(job: Job, last: Refusal) -> Refusal:
-    """The refusal, which says "not run" only where that is so."""
-    if job.may_have_run and last.ran == "no":
-        return refusal("outcome_unknown", last.message)
-    return last
+def _final_refusal(job: Job, last_refusal: Refusal) -> Refusal:
+    """The last refusal, unless it says "not run" and the request may have run."""
+    if job.may_have_run and last_refusal.ran == "no":
+        return refusal("outcome_unknown", last_refusal.message)
+    return last_refusal
 
 
-async def _pass(gw: Gateway, job: Job, running: Running, reply: Reply) -> Broken | None:
-    """Pass an answer on; gives why it broke off."""
-    whole = False
+async def _forward(gw: Gateway, job: Job, running: Running, reply: Reply) -> Broken | None:
+    """Forward a response; returns the failure if it broke off."""
+    complete = False
     job.confidence = running.head.confidence
     head_at = running.sent_at + running.first_s
     job.head_at = job.head_at or head_at
     events_before = job.forwarded_events
-    course = ObservedRun(head_at)
+    run = ObservedRun(head_at)
     try:
         if job.route.streams and running.head.status < 400:
-            got = await forward_stream(gw, job, running, reply, course)
+            result = await forward_stream(gw, job, running, reply, run)
         else:
-            got = await forward_response(running, reply, course)
-        whole = isinstance(got, Forwarded)
+            result = await forward_response(running, reply, run)
+        complete = isinstance(result, Forwarded)
     finally:
-        await release(running, whole)
+        await release(running, complete)
         engine = running.chosen.service.engine
         if engine is not None:
-            _charge(job, running, (job.forwarded_events - events_before) * engine.tokens_per_event)
-    if isinstance(got, Broken):
+            _add_cost(
+                job, running, (job.forwarded_events - events_before) * engine.tokens_per_event
+            )
+    if isinstance(result, Broken):
         now = clock.now()
         gw.suspicion_of(running.chosen.upstream.key).record_outcome(True, now)
         events_there = job.forwarded_events - events_before
         logger.info(
             "answer broke off: {}",
-            got.reason,
+            result.reason,
             request=job.req.attempt_id,
             fingerprint=job.fingerprint,
             upstream=running.chosen.upstream.id,
             after_event=job.last_event_id,
             events_there=events_there,
             since_head_s=round(now - head_at, 4),
-            lived_s=round(course.lived_s, 4),
+            lived_s=round(run.lived_s, 4),
         )
-        sign = evidence_level(course.lived_s, events_there)
-        await handle_broken_response(gw, job, running.chosen.upstream, got, sign)
-        return got
-    if got.framed:
+        evidence = evidence_level(run.lived_s, events_there)
+        await handle_broken_response(gw, job, running.chosen.upstream, result, evidence)
+        return result
+    if result.framed:
         gw.fatal.answered(job.fingerprint, running.head.status)
     else:
-        sign = evidence_level(course.lived_s, got.events)
-        await curio.spawn(handle_unframed_end, gw, job, running, sign, daemon=True)
-    judge_answer(gw, running, bad=running.head.status >= 500, passed=got)
+        evidence = evidence_level(run.lived_s, result.events)
+        await curio.spawn(handle_unframed_end, gw, job, running, evidence, daemon=True)
+    judge_answer(gw, running, bad=running.head.status >= 500, passed=result)
     return None
 
 
-def _fatal(job: Job) -> Refusal:
-    """The refusal of a request that ends upstreams.  There is no time to come back: it would be
-    refused again."""
+def _fatal_refusal(job: Job) -> Refusal:
+    """The refusal of a request that ends upstreams.
+
+    It carries no retry delay, as the request would be refused again.
+    """
     ran: Ran = "unknown" if job.may_have_run else "no"
     return refusal("fatal_request", "upstreams end when they begin to run it", ran=ran)
 
 
-def _time_is_up(job: Job) -> Refusal:
+def _timeout_refusal(job: Job) -> Refusal:
     if job.may_have_run:
         return refusal("deadline", "the time limit passed while it was running", ran="unknown")
-    return refusal("overloaded", "the time limit passed before it was begun", NO_ROOM_RETRY_S)
+    return refusal("overloaded", "the time limit passed before it was begun", OVERLOAD_RETRY_S)
 
 
-async def _refuse(
+async def _send_refusal(
     gw: Gateway,
     req: CallerRequest,
     reply: Reply,
-    ref: Refusal,
+    refused: Refusal,
     read_at: float,
     fingerprint: str = "",
 ) -> None:
-    """Send a final answer of our own; `fingerprint` is empty where the request was not let in."""
+    """Send a refusal as the response; `fingerprint` is empty if the request was not admitted."""
     headers: Headers = (JSON_TYPE, *refusal_headers(req.attempt_id))
-    if ref.retry_after_s and ref.ran == "no":
-        headers = (*headers, (b"retry-after", f"{ref.retry_after_s:.2f}".encode()))
+    if refused.retry_after_s and refused.ran == "no":
+        headers = (*headers, (b"retry-after", f"{refused.retry_after_s:.2f}".encode()))
     held_s = clock.now() - read_at
-    gw.metrics.count("ramppost_refusals_total", code=ref.code)
+    gw.metrics.count("ramppost_refusals_total", code=refused.code)
     logger.info(
         "refused: {}",
-        ref.message,
+        refused.message,
         request=req.attempt_id,
         fingerprint=fingerprint,
-        code=ref.code,
-        status=ref.status,
-        ran=ref.ran,
+        code=refused.code,
+        status=refused.status,
+        ran=refused.ran,
         held_s=round(held_s, 4),
         config_age_s=_config_age_s(gw),
         config=gw.table.version if gw.table else None,
     )
-    await reply.send(ref.status, headers, error_body(ref))
+    await reply.send(refused.status, headers, error_body(refused))
 
 
-def _ended(job: Job, served: bool, now: float) -> Ended:
-    """What is counted of a request for the operators' reports."""
+def _ended_record(job: Job, served: bool, now: float) -> Ended:
+    """The values of a request that the operators' reports count."""
     return Ended(
         workspace=job.workspace.name if job.workspace is not None else "",
         route=job.route.name,
@@ -301,7 +310,7 @@
     )
 
 
-def _note_end(gw: Gateway, job: Job, outcome: str, status: int, read_at: float) -> None:
+def _record_end(gw: Gateway, job: Job, outcome: str, status: int, read_at: float) -> None:
     took_s = clock.now() - read_at
     result = outcome.partition(":")[0]
     gw.metrics.count("ramppost_requests_total", route=job.route.name, outcome=result)
@@ -324,5 +333,5 @@
 
 
 def _config_age_s(gw: Gateway) -> float:
-    """For the log: how long ago the configuration was known to be the newest, 999 at most."""
+    """For the log: seconds since the configuration was known to be the newest, at most 999."""
     return round(min(gw.freshness.age(clock.now()), 999.0), 3)
