--- a/ramppost/gateway/attempt.py
+++ b/ramppost/gateway/attempt.py
@@ -16,7 +16,7 @@
 from ramppost.gateway.job import Job
 from ramppost.gateway.links import Broken, Exchange, NotSent, OutgoingRequest, open_exchange
 from ramppost.gateway.load import OwnWork
-from ramppost.gateway.pick import Selection, level
+from ramppost.gateway.pick import Selection, prompt_urgency
 from ramppost.gateway.state import Gateway
 from ramppost.platform.headers import AnswerHead, Send, upstream_head
 from ramppost.policy.backlog import PendingPrompt
@@ -100,7 +100,7 @@
     prompt = job.req.prompt
     if chosen.service.engine is None or prompt is None:
         return None
-    urgency = level(gw, job, chosen.prefill_s)
+    urgency = prompt_urgency(gw, job, chosen.prefill_s)
     return PendingPrompt(now, chosen.prefill_s, urgency, model, prompt.part_names)
 
 
@@ -182,7 +182,7 @@
     if job.route.repeat == "never" or job.counted_attempts >= job.route.attempts:
         return await exchange.read_head()
     part_s = PATIENCE_OF_OBJECTIVE * job.route.objective_s
-    patience_s = max(LEAST_PATIENCE_S, part_s) + PATIENCE_OF_PREDICTED * chosen.first_s
+    patience_s = max(LEAST_PATIENCE_S, part_s) + PATIENCE_OF_PREDICTED * chosen.predicted_first_s
     since = exchange.sent_at
     while True:
         try:
@@ -191,7 +191,7 @@
         except curio.TaskTimeout:
             heard_at = gw.links.last_received_at.get(chosen.upstream.key, float("-inf"))
             affordable = gw.retry_budget_of(chosen.service.name).available(clock.now()) >= 1
-            if heard_at < since and affordable and chosen.candidates > 1:
+            if heard_at < since and affordable and chosen.candidate_count > 1:
                 return Broken(f"silent for {patience_s:.2f} s")
             since = clock.now()
 
@@ -200,7 +200,7 @@
     """Remember how fast a model read, and how long its prompt waited."""
     now = clock.now()
     read = chosen.prefill_s / gw.prefill_rates.rate_s(model)
-    queued_s = chosen.first_s - chosen.prefill_s
+    queued_s = chosen.predicted_first_s - chosen.prefill_s
     gw.pressure.record_wait(first_s - chosen.prefill_s, now)
     gw.prefill_rates.observe(model, read, max(0.0, first_s - queued_s))
 
@@ -250,11 +250,11 @@
         model=model,
         confidence=got.head.confidence if isinstance(got, Running) else None,
         after_event=job.last_event_id,
-        candidates=chosen.candidates,
-        own=chosen.own,
-        reported=chosen.reported,
+        candidates=chosen.candidate_count,
+        own=chosen.own_requests,
+        reported=chosen.reported_running,
         report_age_s=round(min(chosen.report_age_s, 999.0), 3),
-        predicted_s=round(chosen.first_s, 4),
+        predicted_s=round(chosen.predicted_first_s, 4),
         read_s=round(chosen.prefill_s, 4),
         ahead_s=round(chosen.ahead_s, 4),
         kept_tokens=chosen.kept_tokens,
--- a/ramppost/gateway/escalation.py
+++ b/ramppost/gateway/escalation.py
@@ -52,7 +52,7 @@
 
     def first_s(model: str) -> float | None:
         chosen = at_largest if model == largest else pick(gw, job, service, model, now)
-        return chosen.first_s if chosen is not None else None
+        return chosen.predicted_first_s if chosen is not None else None
 
     read_s = at_largest.prefill_s if at_largest is not None else 0.0
     least_wait_s = _least_wait_s(job)
