--- a/ramppost/gateway/attempt.py
+++ b/ramppost/gateway/attempt.py
@@ -1,7 +1,7 @@
-"""One attempt: send a request to an upstream and wait for the head of its answer.
+"""A single attempt: sends a request to an upstream and waits for the head of its response.
 
-An upstream that is silent is given up only where the request may run again, and only
-if nothing at all came from it since: an engine that answers others is alive and busy.
+A silent upstream is given up only if the request may be repeated and no bytes at all have arrived
+from the upstream since: an engine that responds to other requests is alive and busy.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 from ramppost.platform.headers import AnswerHead, Send, upstream_head
 from ramppost.policy.backlog import PendingPrompt
 
-PATIENCE_OF_OBJECTIVE: Final = 0.4
-"""Part of the objective after which a silent upstream is given up: time for another is left."""
-LEAST_PATIENCE_S: Final = 0.25
-"""Several times the usual work of a plain service, whose objective may be tight."""
-PATIENCE_OF_PREDICTED: Final = 3.0
-"""Times the predicted time to a first byte that are waited beside: engines queue in bursts."""
+TIMEOUT_OBJECTIVE_RATIO: Final = 0.4
+"""Fraction of the objective after which a silent upstream is given up; leaves time for another."""
+MIN_TIMEOUT_S: Final = 0.25
+"""Several times the usual processing time of a plain service, whose objective may be tight."""
+TIMEOUT_PREDICTION_FACTOR: Final = 3.0
+"""Multiple of the predicted time to the first byte that is added, as engines queue in bursts."""
+KEY_ID_CHARS: Final = 8
+"""Leading characters of a request's id in the attempt keys sent to the keepers of backlogs."""
 
-
-KEY_CHARS: Final = 8
-"""Of a request's id, in the name of an attempt that keepers of backlogs are told."""
-
-_numbers = itertools.count(1)
+_attempt_numbers = itertools.count(1)
 
 
 class Refused(NamedTuple):
-    """The upstream said that it did not run the request; `wrong_upstream` where it is not the one
-    that its entry names, or not of the version."""
+    """The upstream reported that it did not run the request.
+
+    `wrong_upstream` is true if it is not the upstream or version that its entry names.
+    """
 
     status: int
     retry_after_s: float
@@ -45,7 +45,7 @@
 
 
 class Running(NamedTuple):
-    """An attempt that is being answered."""
+    """An attempt whose response head has arrived."""
 
     chosen: Selection
     model: str
@@ -59,44 +59,44 @@
 async def attempt(
     gw: Gateway, job: Job, chosen: Selection, model: str
 ) -> Running | Refused | NotSent | Broken:
-    """Send the request; the outcome is logged and counted."""
+    """Send the request, and log and count the outcome."""
     upstream = chosen.upstream
     job.tried_upstreams.add(upstream.key)
-    now = clock.now()
+    started_at = clock.now()
     work = gw.loads.own(upstream.key)
     work.requests += 1
     work.pending += 1
-    reading = _reading(gw, job, chosen, model, now)
-    key = f"{job.req.attempt_id[:KEY_CHARS]}-{next(_numbers)}"
-    if reading is not None:
-        gw.prefill_rates.record_sent(reading.read_s)
-        gw.backlogs.sent(upstream, key, reading)
-    got: Running | Refused | NotSent | Broken = Broken("cancelled")
+    pending_prompt = _pending_prompt(gw, job, chosen, model, started_at)
+    attempt_key = f"{job.req.attempt_id[:KEY_ID_CHARS]}-{next(_attempt_numbers)}"
+    if pending_prompt is not None:
+        gw.prefill_rates.record_sent(pending_prompt.read_s)
+        gw.backlogs.sent(upstream, attempt_key, pending_prompt)
+    result: Running | Refused | NotSent | Broken = Broken("cancelled")
     try:
-        got = await _send_and_wait(gw, job, chosen, model, work, reading)
+        result = await _send_and_wait(gw, job, chosen, model, work, pending_prompt)
     finally:
         work.pending -= 1
-        if reading is not None:
-            gw.backlogs.over(upstream, key, isinstance(got, Running))
-        if not isinstance(got, Running):
+        if pending_prompt is not None:
+            gw.backlogs.over(upstream, attempt_key, isinstance(result, Running))
+        if not isinstance(result, Running):
             work.requests -= 1
-        _record_outcome(gw, job, chosen, model, got, clock.now() - now)
-    return got
+        _record_outcome(gw, job, chosen, model, result, clock.now() - started_at)
+    return result
 
 
-async def release(running: Running, whole: bool) -> None:
-    """The attempt is over; `whole` where its answer was read to the end."""
+async def release(running: Running, complete: bool) -> None:
+    """End an attempt; `complete` tells whether its response was read to the end."""
     running.work.requests -= 1
-    if whole:
+    if complete:
         await running.exchange.finish()
     else:
         await running.exchange.abort()
 
 
-def _reading(
+def _pending_prompt(
     gw: Gateway, job: Job, chosen: Selection, model: str, now: float
 ) -> PendingPrompt | None:
-    """What other gateways are told of a prompt that is sent; None where there is none."""
+    """What other gateways are told about the prompt of a request; None if it has none."""
     prompt = job.req.prompt
     if chosen.service.engine is None or prompt is None:
         return None
@@ -110,26 +110,26 @@
     chosen: Selection,
     model: str,
     work: OwnWork,
-    reading: PendingPrompt | None,
+    pending_prompt: PendingPrompt | None,
 ) -> Running | Refused | NotSent | Broken:
-    urgency = reading.level if reading is not None else None
+    urgency = pending_prompt.level if pending_prompt is not None else None
 
     def compose() -> OutgoingRequest | NotSent:
         return _compose_request(gw, job, chosen, model, urgency)
 
     sent_at = clock.now()
-    opened = await open_exchange(gw.links, chosen.upstream, compose)
-    if isinstance(opened, NotSent):
-        return opened
+    exchange = await open_exchange(gw.links, chosen.upstream, compose)
+    if isinstance(exchange, NotSent):
+        return exchange
     job.attempts += 1
     ran_before = job.may_have_run
     job.may_have_run = True
-    if isinstance(opened, Broken):
-        return opened
-    kept = False
+    if isinstance(exchange, Broken):
+        return exchange
+    handled = False
     try:
-        with gw.fatal.waiting(job.fingerprint, opened):
-            head = await _head_in_time(gw, job, chosen, opened)
+        with gw.fatal.waiting(job.fingerprint, exchange):
+            head = await _read_head_in_time(gw, job, chosen, exchange)
         if isinstance(head, Broken):
             return head
         now = clock.now()
@@ -137,21 +137,24 @@
             gw.loads.report(chosen.upstream.key, head.running, head.waiting or 0, now)
         if head.not_run:
             job.may_have_run = ran_before
-            await opened.abort()
-            kept = True
+            await exchange.abort()
+            handled = True
             return Refused(head.status, head.retry_after_s or 0.0, head.wrong_upstream)
-        kept = True
-        return Running(chosen, model, opened, head, work, sent_at, now - sent_at)
+        handled = True
+        return Running(chosen, model, exchange, head, work, sent_at, now - sent_at)
     finally:
-        if not kept:
-            await opened.abort()
+        if not handled:
+            await exchange.abort()
 
 
 def _compose_request(
     gw: Gateway, job: Job, chosen: Selection, model: str, urgency: int | None
 ) -> OutgoingRequest | NotSent:
-    """What is sent, with the time that is left now: a box may have been suspended, or a process
-    frozen, while the connection was made."""
+    """The request to send, or the reason why it must not be sent any more.
+
+    The clock is read again here, because a box may have been suspended or a process frozen while
+    the connection was established.
+    """
     now = clock.now()
     if job.workspace is not None and not gw.freshness.may_start(now):
         return NotSent("not sent: the confirmation of its key grew old on the way", withheld=True)
@@ -162,7 +165,7 @@
     if gw.warmups.wait_s(chosen.service, chosen.upstream, now) > 0:
         return NotSent("not sent: warming up, and sent enough meanwhile", withheld=True)
     gw.warmups.sent(chosen.service, chosen.upstream, now)
-    send = Send(
+    routing = Send(
         chosen.upstream,
         job.left_s(now),
         job.workspace,
@@ -171,38 +174,40 @@
         job.last_event_id,
     )
     req = job.req
-    headers = upstream_head(req, send, bool(req.body) or req.method in ("POST", "PUT", "PATCH"))
+    headers = upstream_head(req, routing, bool(req.body) or req.method in ("POST", "PUT", "PATCH"))
     return OutgoingRequest(req.method, req.target, headers, req.body, req.attempt_id)
 
 
-async def _head_in_time(
+async def _read_head_in_time(
     gw: Gateway, job: Job, chosen: Selection, exchange: Exchange
 ) -> AnswerHead | Broken:
-    """The head; Broken for an upstream that stays silent where another may be asked."""
+    """Read the response head; Broken if the upstream is silent and another may be tried."""
     if job.route.repeat == "never" or job.counted_attempts >= job.route.attempts:
         return await exchange.read_head()
-    part_s = PATIENCE_OF_OBJECTIVE * job.route.objective_s
-    patience_s = max(LEAST_PATIENCE_S, part_s) + PATIENCE_OF_PREDICTED * chosen.predicted_first_s
-    since = exchange.sent_at
+    objective_part_s = TIMEOUT_OBJECTIVE_RATIO * job.route.objective_s
+    timeout_s = (
+        max(MIN_TIMEOUT_S, objective_part_s) + TIMEOUT_PREDICTION_FACTOR * chosen.predicted_first_s
+    )
+    silent_since = exchange.sent_at
     while True:
         try:
-            got: AnswerHead | Broken = await curio.timeout_after(patience_s, exchange.read_head())
-            return got
+            head: AnswerHead | Broken = await curio.timeout_after(timeout_s, exchange.read_head())
+            return head
         except curio.TaskTimeout:
-            heard_at = gw.links.last_received_at.get(chosen.upstream.key, float("-inf"))
-            affordable = gw.retry_budget_of(chosen.service.name).available(clock.now()) >= 1
-            if heard_at < since and affordable and chosen.candidate_count > 1:
-                return Broken(f"silent for {patience_s:.2f} s")
-            since = clock.now()
+            last_received_at = gw.links.last_received_at.get(chosen.upstream.key, float("-inf"))
+            has_budget = gw.retry_budget_of(chosen.service.name).available(clock.now()) >= 1
+            if last_received_at < silent_since and has_budget and chosen.candidate_count > 1:
+                return Broken(f"silent for {timeout_s:.2f} s")
+            silent_since = clock.now()
 
 
-def _learn_engine(gw: Gateway, chosen: Selection, model: str, first_s: float) -> None:
-    """Remember how fast a model read, and how long its prompt waited."""
+def _record_prefill(gw: Gateway, chosen: Selection, model: str, first_s: float) -> None:
+    """Record how fast a model processed a prompt, and how long the prompt was queued."""
     now = clock.now()
-    read = chosen.prefill_s / gw.prefill_rates.rate_s(model)
-    queued_s = chosen.predicted_first_s - chosen.prefill_s
+    processed_tokens = chosen.prefill_s / gw.prefill_rates.rate_s(model)
+    predicted_queue_s = chosen.predicted_first_s - chosen.prefill_s
     gw.pressure.record_wait(first_s - chosen.prefill_s, now)
-    gw.prefill_rates.observe(model, read, max(0.0, first_s - queued_s))
+    gw.prefill_rates.observe(model, processed_tokens, max(0.0, first_s - predicted_queue_s))
 
 
 def _record_outcome(
@@ -210,26 +215,26 @@
     job: Job,
     chosen: Selection,
     model: str,
-    got: Running | Refused | NotSent | Broken,
+    result: Running | Refused | NotSent | Broken,
     took_s: float,
 ) -> None:
-    """Log and count an attempt, and remember what it says of the upstream."""
+    """Log and count an attempt, and record what it shows about the upstream."""
     now = clock.now()
-    if isinstance(got, Running):
-        outcome = f"status {got.head.status}"
-        failed = got.head.status >= 500
-        if got.head.status < 500 and job.req.prompt is not None:
-            _learn_engine(gw, chosen, model, got.first_s)
+    if isinstance(result, Running):
+        outcome = f"status {result.head.status}"
+        failed = result.head.status >= 500
+        if result.head.status < 500 and job.req.prompt is not None:
+            _record_prefill(gw, chosen, model, result.first_s)
         if chosen.service.engine is None:
             gw.suspicion_of(chosen.upstream.key).record_latency(took_s, now)
-    elif isinstance(got, Refused):
-        outcome = f"refused with {got.status}"
-        # An entry may name an upstream that is no more until it lapses: taken for an idle one, it
-        # drew 606 attempts of 3,400 requests.
-        failed = got.wrong_upstream
+    elif isinstance(result, Refused):
+        outcome = f"refused with {result.status}"
+        # An entry may outlive its upstream until it expires.  Such an upstream was taken for idle
+        # and attracted 606 attempts of 3,400 requests.
+        failed = result.wrong_upstream
     else:
-        outcome = got.reason
-        failed = not (isinstance(got, NotSent) and got.withheld)
+        outcome = result.reason
+        failed = not (isinstance(result, NotSent) and result.withheld)
         if failed and outcome != "cancelled":
             gw.assume_warming_up(chosen.upstream, now)
     if outcome != "cancelled":
@@ -237,7 +242,7 @@
     if job.req.session:
         version = chosen.upstream.version
         gw.rollouts.pins.record(chosen.service.name, job.req.session, version, now)
-    gw.metrics.count("ramppost_attempts_total", outcome=type(got).__name__.lower())
+    gw.metrics.count("ramppost_attempts_total", outcome=type(result).__name__.lower())
     logger.info(
         "attempt {}: {}",
         job.attempts,
@@ -248,7 +253,7 @@
         hall=chosen.upstream.hall,
         version=chosen.upstream.version,
         model=model,
-        confidence=got.head.confidence if isinstance(got, Running) else None,
+        confidence=result.head.confidence if isinstance(result, Running) else None,
         after_event=job.last_event_id,
         candidates=chosen.candidate_count,
         own=chosen.own_requests,
