--- a/ramppost/gateway/follow.py
+++ b/ramppost/gateway/follow.py
@@ -243,7 +243,7 @@
     """How a kind is replicated.
 
     `watch_timeout_s` limits the duration of a watch; `pause_s` is the delay between two watches,
-    so that changes close together cost one call.  `feed_valid_until` returns the time (monotonic
+    so that changes close together cost one call.  `feed_valid_until` returns the time (steady
     clock) until which another gateway keeps this one up to date; the store is queried
     `fallback_delay_s` after that.  A kind with `probes_store` keeps calling an unavailable store;
     the others wait until one of its calls is answered.
