--- a/ramppost/entry/serve.py
+++ b/ramppost/entry/serve.py
@@ -143,7 +143,7 @@
 def _count_begun(entry: Entry, ask: Ask, chosen: Route, pick: PickedVersion, run: Running) -> None:
     count = entry.stats.policy(chosen.policy_name)
     count.requests += 1
-    count.trial += pick.trial
+    count.trial_requests += pick.trial
     served = Served(chosen.policy_name, ask.cls["name"], run.mv)
     entry.stats.remember(run.request_id, served)
 
--- a/ramppost/policy/bills.py
+++ b/ramppost/policy/bills.py
@@ -1,9 +1,9 @@
-"""What a request's bill consists of.
+"""Determines which bill lines of a request count.
 
-Pure.  An attempt's id is `request.s<stage>t<try_number>`: the stage of a cascade, and
-the turn within it.  A later turn of a stage is begun only when the former one
-was given up, so of a stage only the last turn counts; a witness line that comes
-late for a turn that was given up changes nothing.
+No I/O.  An attempt's id is `request.s<stage>t<try_number>`: the stage of a cascade, and the
+number of the try within the stage.  A later try of a stage starts only after the earlier one
+was given up, so only the last try of each stage counts.  A witness line that arrives late for
+a try that was given up therefore changes nothing.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class AttemptPosition(NamedTuple):
-    """Where an attempt stands within its request."""
+    """Position of an attempt within its request."""
 
     request_id: str
     stage: int
@@ -26,29 +26,29 @@
 
 
 def attempt_id(request_id: str, stage: int, try_number: int) -> str:
-    """The id of an attempt."""
+    """Format the id of an attempt."""
     return f"{request_id}.s{stage}t{try_number}"
 
 
 def parse_attempt_id(attempt: str) -> AttemptPosition:
-    """The place of an attempt; stage and turn 0 where the id has another form."""
-    found = ATTEMPT_ID_PATTERN.fullmatch(attempt)
-    if found is None:
+    """Parse the id of an attempt; stage and try are 0 if the id has another format."""
+    match = ATTEMPT_ID_PATTERN.fullmatch(attempt)
+    if match is None:
         return AttemptPosition(attempt, 0, 0)
-    return AttemptPosition(found.group(1), int(found.group(2)), int(found.group(3)))
+    return AttemptPosition(match.group(1), int(match.group(2)), int(match.group(3)))
 
 
 def request_id_of(attempt: str) -> str:
-    """The request of an attempt."""
+    """The id of the request that an attempt belongs to."""
     return parse_attempt_id(attempt).request_id
 
 
 def billable_lines(lines: Iterable[BillLine]) -> list[BillLine]:
-    """The lines of one request that count: of each stage the last turn."""
-    last: dict[int, BillLine] = {}
+    """Select the lines of one request that count: those of the last try of each stage."""
+    latest_by_stage: dict[int, BillLine] = {}
     for line in lines:
-        place = parse_attempt_id(line["attempt"])
-        held = last.get(place.stage)
-        if held is None or parse_attempt_id(held["attempt"]).try_number < place.try_number:
-            last[place.stage] = line
-    return [last[stage] for stage in sorted(last)]
+        position = parse_attempt_id(line["attempt"])
+        latest = latest_by_stage.get(position.stage)
+        if latest is None or parse_attempt_id(latest["attempt"]).try_number < position.try_number:
+            latest_by_stage[position.stage] = line
+    return [latest_by_stage[stage] for stage in sorted(latest_by_stage)]
--- a/ramppost/policy/burn.py
+++ b/ramppost/policy/burn.py
@@ -1,7 +1,7 @@
-"""Service-level burn: how fast a class of a workspace uses up its error budget.
+"""Error budget burn rates: how fast a class of a workspace uses up its error budget.
 
-Pure: the clock is an argument.  Burn 1 uses the budget up exactly at the end of
-the period; the fast window tells of a sudden fault, the slow one of a creeping.
+No I/O, and the current time is an argument.  A burn rate of 1 uses the budget up exactly at
+the end of the period.  The fast window detects sudden faults, the slow window gradual ones.
 """
 
 from __future__ import annotations
@@ -11,13 +11,16 @@
 
 from ramppost.schema.messages import ClassReport
 
-BUCKET_S: Final = 10.0
-FAST_S: Final = 300.0
-SLOW_S: Final = 3600.0
+BUCKET_WIDTH_S: Final = 10.0
+FAST_WINDOW_S: Final = 300.0
+SLOW_WINDOW_S: Final = 3600.0
 
 
 class OutcomeWindow:
-    """Good and bad requests of the last hour, in buckets of ten seconds."""
+    """Good and bad requests of the last hour, in buckets of ten seconds.
+
+    `good` and `bad` are the totals of all requests counted.
+    """
 
     def __init__(self) -> None:
         self._buckets: deque[tuple[float, int, int]] = deque()
@@ -26,25 +29,25 @@
 
     def add(self, good: bool, now: float) -> None:
         """Count one request."""
-        start = now - now % BUCKET_S
+        start = now - now % BUCKET_WIDTH_S
         if not self._buckets or self._buckets[-1][0] != start:
             self._buckets.append((start, 0, 0))
-        at, goods, bads = self._buckets[-1]
-        self._buckets[-1] = (at, goods + good, bads + (not good))
+        at, good_count, bad_count = self._buckets[-1]
+        self._buckets[-1] = (at, good_count + good, bad_count + (not good))
         self.good += good
         self.bad += not good
-        while self._buckets and self._buckets[0][0] < now - SLOW_S:
+        while self._buckets and self._buckets[0][0] < now - SLOW_WINDOW_S:
             self._buckets.popleft()
 
     def bad_share(self, span_s: float, now: float) -> float:
-        """Share of bad requests in the last seconds."""
-        inside = [(g, b) for at, g, b in self._buckets if at >= now - span_s]
-        total = sum(g + b for g, b in inside)
-        return sum(b for _, b in inside) / total if total else 0.0
+        """Share of bad requests in the last `span_s` seconds."""
+        recent = [(g, b) for at, g, b in self._buckets if at >= now - span_s]
+        total = sum(g + b for g, b in recent)
+        return sum(b for _, b in recent) / total if total else 0.0
 
 
 def burn_rate(bad_share: float, objective: float) -> float:
-    """Bad share over the share that the objective leaves.
+    """Ratio of the bad share to the bad share that the objective allows.
 
     >>> burn_rate(0.02, 0.99)
     2.0
@@ -53,9 +56,9 @@
 
 
 def budget_left(good: int, bad: int, objective: float) -> float:
-    """Share of the error budget not used yet; below zero when overdrawn."""
-    allowed = (good + bad) * (1 - objective)
-    return 1 - bad / allowed if allowed else 1.0
+    """Share of the error budget that is left; negative if it is overspent."""
+    allowed_bad = (good + bad) * (1 - objective)
+    return 1 - bad / allowed_bad if allowed_bad else 1.0
 
 
 class WorkspaceClass(NamedTuple):
@@ -66,22 +69,22 @@
 
 
 def class_report(
-    cls: WorkspaceClass,
+    workspace_class: WorkspaceClass,
     window: OutcomeWindow,
-    share: float,
+    objective: float,
     now: float,
     p50_ms: float,
     p99_ms: float,
 ) -> ClassReport:
-    """What a report says of a class; `share` is the part of requests that must be good."""
+    """Build the report of a class; `objective` is the share of requests that must be good."""
     return ClassReport(
-        workspace=cls.workspace,
-        class_name=cls.name,
+        workspace=workspace_class.workspace,
+        class_name=workspace_class.name,
         good=window.good,
         bad=window.bad,
-        fast_burn=burn_rate(window.bad_share(FAST_S, now), share),
-        slow_burn=burn_rate(window.bad_share(SLOW_S, now), share),
-        budget_left=budget_left(window.good, window.bad, share),
+        fast_burn=burn_rate(window.bad_share(FAST_WINDOW_S, now), objective),
+        slow_burn=burn_rate(window.bad_share(SLOW_WINDOW_S, now), objective),
+        budget_left=budget_left(window.good, window.bad, objective),
         p50_ms=p50_ms,
         p99_ms=p99_ms,
     )
--- a/ramppost/policy/intent.py
+++ b/ramppost/policy/intent.py
@@ -1,7 +1,7 @@
-"""From an operator's wish to a new configuration document.
+"""Applies operator intents to a configuration document.
 
-Pure.  `apply_intent` answers the document that would be in force, or why the
-wish can't be carried out; `difference` tells in lines what would change.
+No I/O.  `apply_intent` returns the document that would be in force, or why the intent can't be
+applied; `config_diff` lists what would change, one line per change.
 """
 
 from __future__ import annotations
@@ -26,27 +26,27 @@
 
 DEFAULT_STEPS: Final = [0.01, 0.1, 0.5, 1.0]
 DEFAULT_STEP_S: Final = 600.0
-DEFAULT_ERRORS: Final = 0.2
-DEFAULT_DROP: Final = 0.1
+DEFAULT_MAX_ERROR_SHARE: Final = 0.2
+DEFAULT_MAX_RATING_DROP: Final = 0.1
 DEFAULT_MIN_REQUESTS: Final = 20
-KEPT_ROLLOUTS: Final = 20
-KEPT_KEYS: Final = 2
+MAX_PAST_ROLLOUTS: Final = 20
+MAX_SESSION_KEYS: Final = 2
 
 
 class BadIntent(NamedTuple):
-    """Why a wish can't be carried out."""
+    """Why an intent can't be applied."""
 
     reason: str
 
 
 def apply_intent(doc: ConfigDoc, intent: Intent) -> ConfigDoc | BadIntent:
-    """The document after a wish, with the revision left as it is."""
-    fresh = copy.deepcopy(doc)
-    bad = APPLY[intent["kind"]](fresh, intent)
-    return BadIntent(bad) if bad else fresh
+    """Return a copy of the document with the intent applied; the revision is not changed."""
+    updated = copy.deepcopy(doc)
+    error = INTENT_HANDLERS[intent["kind"]](updated, intent)
+    return BadIntent(error) if error else updated
 
 
-def _rollout(doc: ConfigDoc, intent: Intent) -> str:
+def _start_rollout(doc: ConfigDoc, intent: Intent) -> str:
     mv = ModelVersion(intent.get("model", ""), intent.get("version", ""))
     model = model_named(doc, mv.model)
     if model is None:
@@ -68,19 +68,19 @@
         step=0,
         step_s=intent.get("step_s", DEFAULT_STEP_S),
         state="running",
-        max_error_share=intent.get("max_error_share", DEFAULT_ERRORS),
-        max_rating_drop=intent.get("max_rating_drop", DEFAULT_DROP),
+        max_error_share=intent.get("max_error_share", DEFAULT_MAX_ERROR_SHARE),
+        max_rating_drop=intent.get("max_rating_drop", DEFAULT_MAX_RATING_DROP),
         since_revision=doc["revision"] + 1,
         max_slow_share=intent.get("max_slow_share", DEFAULT_SLOW_SHARE),
         min_requests=intent.get("min_requests", DEFAULT_MIN_REQUESTS),
     )
     if "max_exposed" in intent:
         rollout["max_exposed"] = intent["max_exposed"]
-    doc["rollouts"] = [*doc["rollouts"][-KEPT_ROLLOUTS:], rollout]
+    doc["rollouts"] = [*doc["rollouts"][-MAX_PAST_ROLLOUTS:], rollout]
     return ""
 
 
-def _withdraw(doc: ConfigDoc, intent: Intent) -> str:
+def _withdraw_version(doc: ConfigDoc, intent: Intent) -> str:
     mv = ModelVersion(intent.get("model", ""), intent.get("version", ""))
     model = model_named(doc, mv.model)
     if model is None or version_state(doc, mv) == "unknown":
@@ -93,7 +93,7 @@
     return ""
 
 
-def _permissions(doc: ConfigDoc, intent: Intent) -> str:
+def _set_permissions(doc: ConfigDoc, intent: Intent) -> str:
     ws = workspace_named(doc, intent.get("workspace", ""))
     if ws is None:
         return f"no such workspace: {intent.get('workspace', '')!r}"
@@ -107,7 +107,7 @@
     return ""
 
 
-def _limits(doc: ConfigDoc, intent: Intent) -> str:
+def _set_limits(doc: ConfigDoc, intent: Intent) -> str:
     ws = workspace_named(doc, intent.get("workspace", ""))
     if ws is None:
         return f"no such workspace: {intent.get('workspace', '')!r}"
@@ -119,7 +119,7 @@
     return ""
 
 
-def _cascade(doc: ConfigDoc, intent: Intent) -> str:
+def _set_cascade(doc: ConfigDoc, intent: Intent) -> str:
     name, models = intent.get("policy", ""), intent.get("models", [])
     unknown = [m for m in models if model_named(doc, m) is None]
     if not name or not models or unknown:
@@ -131,7 +131,7 @@
     return ""
 
 
-def _compare(doc: ConfigDoc, intent: Intent) -> str:
+def _start_comparison(doc: ConfigDoc, intent: Intent) -> str:
     ws = workspace_named(doc, intent.get("workspace", ""))
     split = intent.get("split", [])
     if ws is None or not split:
@@ -143,7 +143,7 @@
     return ""
 
 
-def _end_compare(doc: ConfigDoc, intent: Intent) -> str:
+def _end_comparison(doc: ConfigDoc, intent: Intent) -> str:
     name = intent.get("policy", "")
     if policy_named(doc, name) is None:
         return f"no such policy: {name!r}"
@@ -155,19 +155,19 @@
 
 
 def _rotate_session_key(doc: ConfigDoc, intent: Intent) -> str:
-    fresh = SessionKey(id=secrets.token_hex(3), secret=secrets.token_hex(32))
-    doc["session_keys"] = [fresh, *doc["session_keys"]][:KEPT_KEYS]
+    new_key = SessionKey(id=secrets.token_hex(3), secret=secrets.token_hex(32))
+    doc["session_keys"] = [new_key, *doc["session_keys"]][:MAX_SESSION_KEYS]
     return ""
 
 
-APPLY: Final[dict[str, Callable[[ConfigDoc, Intent], str]]] = {
-    "rollout": _rollout,
-    "withdraw": _withdraw,
-    "permissions": _permissions,
-    "limits": _limits,
-    "cascade": _cascade,
-    "compare": _compare,
-    "end_compare": _end_compare,
+INTENT_HANDLERS: Final[dict[str, Callable[[ConfigDoc, Intent], str]]] = {
+    "rollout": _start_rollout,
+    "withdraw": _withdraw_version,
+    "permissions": _set_permissions,
+    "limits": _set_limits,
+    "cascade": _set_cascade,
+    "compare": _start_comparison,
+    "end_compare": _end_comparison,
     "rotate_session_key": _rotate_session_key,
 }
 
@@ -181,41 +181,44 @@
 
 
 def advance_rollout(doc: ConfigDoc, model: str) -> ConfigDoc:
-    """The document with a model's roll-out one step on."""
-    fresh = copy.deepcopy(doc)
-    rollout = running_rollout(fresh, model)
+    """Return the document with a model's rollout advanced by one step."""
+    updated = copy.deepcopy(doc)
+    rollout = running_rollout(updated, model)
     assert rollout is not None
     rollout["step"] += 1
-    return fresh
+    return updated
 
 
 def finish_rollout(doc: ConfigDoc, model: str) -> ConfigDoc:
-    """The document with a model's trial version stable; the former one keeps its sessions."""
-    fresh = copy.deepcopy(doc)
-    rollout, found = running_rollout(fresh, model), model_named(fresh, model)
-    assert rollout is not None and found is not None
+    """Return the document with a model's trial version made stable.
+
+    The former stable version is paused, and keeps its sessions.
+    """
+    updated = copy.deepcopy(doc)
+    rollout, model_entry = running_rollout(updated, model), model_named(updated, model)
+    assert rollout is not None and model_entry is not None
     rollout["state"] = "done"
-    _set_state(found, rollout["trial"], "stable")
-    _set_state(found, rollout["stable"], "paused")
-    return fresh
+    _set_state(model_entry, rollout["trial"], "stable")
+    _set_state(model_entry, rollout["stable"], "paused")
+    return updated
 
 
 def withdraw_trial(doc: ConfigDoc, model: str, reason: str) -> ConfigDoc:
-    """The document with a model's trial version withdrawn by its guards."""
-    fresh = copy.deepcopy(doc)
-    rollout, found = running_rollout(fresh, model), model_named(fresh, model)
-    assert rollout is not None and found is not None
+    """Return the document with a model's trial version withdrawn by the rollout guards."""
+    updated = copy.deepcopy(doc)
+    rollout, model_entry = running_rollout(updated, model), model_named(updated, model)
+    assert rollout is not None and model_entry is not None
     rollout["state"] = "withdrawn"
     rollout["note"] = reason
-    _set_state(found, rollout["trial"], "withdrawn")
-    return fresh
+    _set_state(model_entry, rollout["trial"], "withdrawn")
+    return updated
 
 
 SECRET_FIELDS: Final = ("secret", "token_hash", "token_hashes")
 
 
 def config_diff(old: Any, new: Any, path: str = "$") -> list[str]:
-    """What differs, a line each, with secrets left out."""
+    """List the differences of two values, one line each; secrets are left out."""
     if old == new:
         return []
     if path.rpartition(".")[2] in SECRET_FIELDS:
@@ -231,19 +234,19 @@
             lines += config_diff(a, b, f"{path}[{index}]")
         return lines
     if isinstance(old, list) and isinstance(new, list):
-        gone = [f"{path}: - {_short(a)}" for a in old if a not in new]
-        return gone + [f"{path}: + {_short(b)}" for b in new if b not in old]
-    return [f"{path}: {_short(old)} -> {_short(new)}"]
+        removed = [f"{path}: - {_without_secrets(a)}" for a in old if a not in new]
+        return removed + [f"{path}: + {_without_secrets(b)}" for b in new if b not in old]
+    return [f"{path}: {_without_secrets(old)} -> {_without_secrets(new)}"]
 
 
-def _short(value: Any) -> str:
+def _without_secrets(value: Any) -> str:
     if isinstance(value, dict):
         value = {k: v for k, v in value.items() if k not in SECRET_FIELDS}
     return str(value)
 
 
 def warnings_for(doc: ConfigDoc, intent: Intent) -> list[str]:
-    """What an operator should know before confirming."""
+    """Warnings that are shown to the operator before the plan is confirmed."""
     lines = []
     kind = intent["kind"]
     if kind == "withdraw":
@@ -255,19 +258,19 @@
     if kind == "permissions" and not intent.get("allow"):
         lines.append("the workspace will be able to use no model")
     if kind == "rotate_session_key":
-        lines.append(f"sessions made with a key older than the last {KEPT_KEYS} end")
+        lines.append(f"sessions made with a key older than the last {MAX_SESSION_KEYS} end")
     return lines
 
 
-def expected_effect(doc: ConfigDoc, intent: Intent, share_seen: float) -> str:
-    """A sentence on the expected effect; `share_seen` is the model's share of requests here."""
+def expected_effect(doc: ConfigDoc, intent: Intent, traffic_share: float) -> str:
+    """Describe the expected effect; `traffic_share` is the model's share of requests here."""
     kind = intent["kind"]
     if kind == "rollout":
         steps = intent.get("steps", DEFAULT_STEPS)
-        at_most = steps[0] * share_seen
+        at_most = steps[0] * traffic_share
         share = f"{steps[0]:.1%} of the model's new sessions, {at_most:.2%} of all requests"
         return f"step 1 sends {share}, to the trial"
     if kind == "withdraw":
-        return f"{share_seen:.1%} of requests move to the model's other versions or are refused"
+        return f"{traffic_share:.1%} of requests move to the model's other versions or are refused"
     prices = sorted(m["price"] for m in doc["models"])
     return f"models cost {prices[0]:g} to {prices[-1]:g} a thousand tokens" if prices else "none"
--- a/ramppost/policy/orders.py
+++ b/ramppost/policy/orders.py
@@ -1,12 +1,12 @@
-"""Which orders an upstream is due by the configuration.
+"""Determines the orders that an upstream must receive according to the configuration.
 
-Pure.  A version on trial is loaded wherever its stable one is served, before any
-request for it can be sent there.  Nothing is unloaded by order: a withdrawn
-version costs memory only, and may have sessions to come back to.
+No I/O.  The trial version of a running rollout is loaded wherever its stable version is served,
+before any request for it can be sent there.  Versions are never unloaded by order: a withdrawn
+version costs only memory, and its sessions may return to it.
 
-An order carries the configuration's revision as its fence.  Revisions never go
-back in an agent, so its own orders never do; an engine that checks fences refuses
-those of an agent that was paused while another took its place.
+An order carries the configuration's revision as its fencing token.  An agent never goes back to
+an earlier revision, so the tokens of its own orders never decrease.  An engine that checks them
+rejects the orders of an agent that was paused while another agent replaced it.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 class LoadOrder(NamedTuple):
-    """Load a version's weights; `fence` is the revision that it goes by."""
+    """Order to load a version's weights; `fence` is the configuration revision it is based on."""
 
     fence: int
     mv: ModelVersion
 
 
 def orders_due(doc: ConfigDoc, served: set[ModelVersion]) -> list[LoadOrder]:
-    """Orders for an upstream that serves these versions.
+    """Return the orders due for an upstream that serves the given versions.
 
     >>> rollout = {"model": "large", "stable": "v1", "trial": "v2", "state": "running"}
     >>> orders_due({"revision": 7, "rollouts": [rollout]}, {ModelVersion("large", "v1")})
--- a/ramppost/policy/policydoc.py
+++ b/ramppost/policy/policydoc.py
@@ -1,8 +1,8 @@
-"""Policies of a deployment whose routes, keys and models are the platform's.
+"""Policies of a deployment whose routes, keys and models are managed by the platform.
 
-Pure.  What operators wish is carried out by `ramppost.policy.intent` on a whole
-configuration document, as at an entry: `to_config` makes one of the policies and of what
-the platform tells, and `from_config` takes the policies out again.
+No I/O.  Operator intents are applied by `ramppost.policy.intent` to a whole configuration
+document, as on an entry: `to_config` makes one of the policies and the platform's catalog, and
+`from_config` extracts the policies again.
 """
 
 from __future__ import annotations
@@ -25,35 +25,35 @@
 
 SMALLEST: Final = "smallest"
 LARGEST: Final = "largest"
-"""Stand for a route's first and last model, so that one policy serves many routes."""
+"""Aliases of a route's first and last model, so that one policy can serve many routes."""
 DEFAULT_POLICY: Final = Policy(name="default", kind="learned", models=[], threshold=0.5)
-"""A cascade over a route's models whose threshold gives way while engines are short.  On calm
-days thresholds of 0.5 and 0.6 are worth the same and 0.4 loses 0.02; on days with trouble lower
-ones are worth more (one run of each day)."""
+"""A cascade over a route's models whose threshold is lowered while engines are short.  On test
+days without faults, thresholds of 0.5 and 0.6 score the same and 0.4 scores 0.02 less; on days
+with faults, lower thresholds score more (one run of each day)."""
 INPUT_PRICE_RATIO: Final = 0.25
-"""What a token read costs, as a part of one that is made (the platform's prices)."""
+"""Price of an input token relative to an output token (the platform's prices)."""
 ANY_VERSION: Final = "any"
 
 
 class PlatformCatalog(NamedTuple):
-    """What the platform tells: prices of a thousand tokens by model, and names of workspaces."""
+    """Data from the platform: prices of a thousand tokens by model, and workspace names."""
 
     prices: dict[str, float]
     workspaces: list[str]
 
 
 def empty_doc(operators: list[Operator]) -> PolicyDoc:
-    """A document with the default policy alone."""
+    """A document without policies, with which every workspace uses the default policy."""
     return PolicyDoc(plan_id="", changed_by="", policies=[], workspaces=[], operators=operators)
 
 
-def to_config(doc: PolicyDoc, revision: int, known: PlatformCatalog) -> ConfigDoc:
-    """The whole configuration that the policies are a part of."""
-    prices = known.prices
+def to_config(doc: PolicyDoc, revision: int, catalog: PlatformCatalog) -> ConfigDoc:
+    """Build the whole configuration document that the policies are a part of."""
+    prices = catalog.prices
     by_price = sorted(prices, key=lambda name: prices[name])
-    named = {SMALLEST: by_price[0], LARGEST: by_price[-1]} if by_price else {}
+    aliases = {SMALLEST: by_price[0], LARGEST: by_price[-1]} if by_price else {}
     models = [_model(name, price) for name, price in prices.items()]
-    models += [_model(word, prices[name]) for word, name in named.items()]
+    models += [_model(alias, prices[name]) for alias, name in aliases.items()]
     shares = {item["name"]: item["policies"] for item in doc["workspaces"]}
     default = [{"policy": DEFAULT_POLICY["name"], "share": 1.0}]
     return ConfigDoc(
@@ -73,9 +73,9 @@
                 concurrency=0,
                 policies=shares.get(name, default),  # type: ignore[arg-type]
             )
-            for name in known.workspaces
+            for name in catalog.workspaces
         ],
-        policies=[_listed(DEFAULT_POLICY, by_price), *doc["policies"]],
+        policies=[_with_models(DEFAULT_POLICY, by_price), *doc["policies"]],
         rollouts=[],
         session_keys=[],
         operators=doc["operators"],
@@ -83,7 +83,7 @@
 
 
 def from_config(config: ConfigDoc, plan_id: str, changed_by: str) -> PolicyDoc:
-    """The policies of a configuration."""
+    """Extract the policies of a configuration, without the default policy."""
     default = DEFAULT_POLICY["name"]
     return PolicyDoc(
         plan_id=plan_id,
@@ -98,41 +98,41 @@
     )
 
 
-def effective_policy(config: ConfigDoc, workspace: str, who: str) -> Policy:
-    """The policy that a session or request of a workspace falls to.
+def effective_policy(config: ConfigDoc, workspace: str, routing_key: str) -> Policy:
+    """The policy that applies to a session or request of a workspace.
 
     >>> config = to_config(empty_doc([]), 1, PlatformCatalog({}, []))
     >>> effective_policy(config, "kitchen", "s1")["name"]
     'default'
     """
     ws = workspace_named(config, workspace)
-    name = policy_for(ws, who) if ws is not None else ""
+    name = policy_for(ws, routing_key) if ws is not None else ""
     if name in ("", DEFAULT_POLICY["name"]):
         return DEFAULT_POLICY
     return policy_named(config, name) or DEFAULT_POLICY
 
 
 def select_models(policy: Policy, route_models: tuple[str, ...]) -> tuple[str, ...]:
-    """The models of a route that a policy asks, in the order that the policy names them.
+    """The models of a route that a policy uses, in the policy's order.
 
-    All of the route's where the policy names none that the route has.
+    All models of the route if the policy names none of them.
 
     >>> select_models(Policy(name="p", kind="fixed", models=["largest"]), ("s", "m", "l"))
     ('l',)
     """
-    words = {SMALLEST: route_models[0], LARGEST: route_models[-1]}
-    named = [words.get(name, name) for name in policy["models"]]
-    found = tuple(dict.fromkeys(name for name in named if name in route_models))
-    if not found:
+    aliases = {SMALLEST: route_models[0], LARGEST: route_models[-1]}
+    named = [aliases.get(name, name) for name in policy["models"]]
+    selected = tuple(dict.fromkeys(name for name in named if name in route_models))
+    if not selected:
         return route_models
-    return found[:1] if policy["kind"] == "fixed" else found
+    return selected[:1] if policy["kind"] == "fixed" else selected
 
 
 def _model(name: str, price: float) -> Model:
     return Model(model=name, price=price, versions=[Version(version=ANY_VERSION, state="stable")])
 
 
-def _listed(policy: Policy, models: list[str]) -> Policy:
+def _with_models(policy: Policy, models: list[str]) -> Policy:
     return Policy(
         name=policy["name"],
         kind=policy["kind"],
--- a/ramppost/policy/session.py
+++ b/ramppost/policy/session.py
@@ -1,8 +1,8 @@
-"""Session and stream tokens: self-describing and authenticated, so no box keeps them.
+"""Session and stream tokens: self-contained and authenticated, so that no box stores them.
 
-A token is `key id . payload . HMAC-SHA256`, base64 without padding.  The first
-key of the configuration mints; every key in it verifies, which is how keys are
-rotated: add the new one in front, drop the old one when its sessions are over.
+A token is `key id . payload . HMAC-SHA256`, in base64 without padding.  Tokens are signed with
+the first key of the configuration and verified with any of its keys.  To rotate keys, add the
+new one in front and remove the old one when its sessions have ended.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 MAC_BYTES: Final = 16
 
-T = TypeVar("T")
+PayloadT = TypeVar("PayloadT")
 
 
 class SessionPayload(TypedDict):
-    """What a session token says."""
+    """Contents of a session token."""
 
     kind: str
     session: str
@@ -31,7 +31,7 @@
 
 
 class StreamPayload(TypedDict):
-    """What a stream's event id says: where the answer can be read on."""
+    """Contents of a stream's event id: where reading of the answer can be resumed."""
 
     kind: str
     workspace: str
@@ -43,43 +43,45 @@
 
 
 class BadToken(NamedTuple):
-    """Why a token is not accepted."""
+    """Why a token was rejected."""
 
     reason: str
 
 
 def mint_token(keys: list[SessionKey], payload: SessionPayload | StreamPayload) -> str:
-    """A token for a payload, made with the first key."""
+    """Create a token for a payload, signed with the first key."""
     key = keys[0]
-    body = _b64(encode(payload))
+    body = _base64(encode(payload))
     return f"{key['id']}.{body}.{_mac(key, body)}"
 
 
 def verify_session_token(
     keys: list[SessionKey], token: str, workspace: str
 ) -> SessionPayload | BadToken:
-    """The session of a token, if it is authentic and of this workspace."""
-    found = _read(keys, token, SessionPayload)
-    if isinstance(found, BadToken):
-        return found
-    if found["kind"] != "session" or found["workspace"] != workspace:
+    """Return a session token's payload if it is authentic and belongs to this workspace."""
+    payload = _verify(keys, token, SessionPayload)
+    if isinstance(payload, BadToken):
+        return payload
+    if payload["kind"] != "session" or payload["workspace"] != workspace:
         return BadToken("token is not of this workspace")
-    return found
+    return payload
 
 
 def verify_stream_token(
     keys: list[SessionKey], token: str, workspace: str
 ) -> StreamPayload | BadToken:
-    """The place in a stream of a token, if it is authentic and of this workspace."""
-    found = _read(keys, token, StreamPayload)
-    if isinstance(found, BadToken):
-        return found
-    if found["kind"] != "stream" or found["workspace"] != workspace:
+    """Return a stream token's payload if it is authentic and belongs to this workspace."""
+    payload = _verify(keys, token, StreamPayload)
+    if isinstance(payload, BadToken):
+        return payload
+    if payload["kind"] != "stream" or payload["workspace"] != workspace:
         return BadToken("token is not of this workspace")
-    return found
+    return payload
 
 
-def _read(keys: list[SessionKey], token: str, kind: type[T]) -> T | BadToken:
+def _verify(
+    keys: list[SessionKey], token: str, payload_type: type[PayloadT]
+) -> PayloadT | BadToken:
     parts = token.split(".")
     if len(parts) != 3 or not token.isascii():
         return BadToken("not a token")
@@ -93,14 +95,14 @@
         data = base64.urlsafe_b64decode(body + "=" * (-len(body) % 4))
     except ValueError:
         return BadToken("not a token")
-    value = decode(data, kind)
-    return BadToken(value.reason) if isinstance(value, BadMessage) else value
+    payload = decode(data, payload_type)
+    return BadToken(payload.reason) if isinstance(payload, BadMessage) else payload
 
 
 def _mac(key: SessionKey, body: str) -> str:
     digest = hmac.new(key["secret"].encode(), body.encode(), hashlib.sha256).digest()
-    return _b64(digest[:MAC_BYTES])
+    return _base64(digest[:MAC_BYTES])
 
 
-def _b64(data: bytes) -> str:
+def _base64(data: bytes) -> str:
     return base64.urlsafe_b64encode(data).rstrip(b"=").decode()
