--- a/bench/backlogs.py
+++ b/bench/backlogs.py
@@ -15,7 +15,7 @@
 import curio
 
 from ramppost import clock
-from ramppost.gateway.backlogs import Backlogs, Question
+from ramppost.gateway.backlogs import BacklogQuery, Backlogs
 from ramppost.gateway.datagrams import Datagrams
 from ramppost.gateway.metrics import Metrics
 from ramppost.gateway.model import Upstream
@@ -32,7 +32,7 @@
     Upstream(f"i-7f3a91c{n}", f"{HOST}:9", "lm", "keeper", "v1", 64, False) for n in range(4)
 ]
 PARTS: Final = ("5c1e07a2", "91bd3f06", "e4402b7d")
-QUESTION: Final = Question(1, "daka510000", PARTS)
+QUESTION: Final = BacklogQuery(1, "daka510000", PARTS)
 
 
 async def _measure() -> None:
@@ -43,7 +43,7 @@
         peers.put(other, f"{HOST}:{PORTS[other]}", other)
         sides[name] = Backlogs(name, peers, PrefillRates(), datagrams[name], Metrics())
         listening = datagrams[name].listen
-        await curio.spawn(listening, HOST, PORTS[name], sides[name].take, daemon=True)
+        await curio.spawn(listening, HOST, PORTS[name], sides[name].handle_datagram, daemon=True)
     await curio.sleep(0.05)
     began = time.process_time()
     for _ in range(TIMES):
@@ -52,8 +52,8 @@
     began = time.process_time()
     for number in range(TIMES):
         reading = PendingPrompt(clock.now(), 0.4, 1, QUESTION.model, PARTS)
-        sides["asker"].sent(ENGINES[0], f"9c41d07b-{number}", reading)
-        sides["asker"].over(ENGINES[0], f"9c41d07b-{number}", began=True)
+        sides["asker"].record_sent(ENGINES[0], f"9c41d07b-{number}", reading)
+        sides["asker"].record_done(ENGINES[0], f"9c41d07b-{number}", began=True)
         await curio.sleep(0)
     _print("notes of a prompt", began, _note_bytes())
 
--- a/ramppost/gateway/admit.py
+++ b/ramppost/gateway/admit.py
@@ -54,7 +54,7 @@
     up to 4.7 s by a gateway that had lost its relay and the store.
     """
     allowed_s = gw.cfg["timing"]["config_apply_ms"] / 1000
-    return gw.freshness.holds(now) and gw.freshness.age(now) < allowed_s
+    return gw.freshness.is_fresh(now) and gw.freshness.age(now) < allowed_s
 
 
 def find_route(table: RoutingTable, host: str, target: str) -> Route | None:
--- a/ramppost/gateway/aftermath.py
+++ b/ramppost/gateway/aftermath.py
@@ -44,7 +44,7 @@
     """An answer that only the close of its connection ended was passed on.  It clears its request
     where its upstream is still there, for an end would have closed the connection, too."""
     if await _look_again(gw, job, running.chosen.upstream, sign):
-        gw.fatal.answered(job.fingerprint, running.head.status)
+        gw.fatal.record_answer(job.fingerprint, running.head.status)
 
 
 async def _look_again(gw: Gateway, job: Job, upstream: Upstream, sign: int) -> bool:
@@ -74,5 +74,5 @@
     job.upstream_ends += 1
     if fate == "ended":
         # One that is silent may be back at any moment: only its way may be cut.
-        gw.members.ended(upstream.key, clock.now())
-    await gw.fatal.ended(upstream.key, job.fingerprint, sign, gone=fate == "ended")
+        gw.members.mark_ended(upstream.key, clock.now())
+    await gw.fatal.record_end(upstream.key, job.fingerprint, sign, gone=fate == "ended")
--- a/ramppost/gateway/attempt.py
+++ b/ramppost/gateway/attempt.py
@@ -15,7 +15,7 @@
 from ramppost import clock
 from ramppost.gateway.job import Job
 from ramppost.gateway.links import Broken, Exchange, NotSent, OutgoingRequest, open_exchange
-from ramppost.gateway.load import OwnWork
+from ramppost.gateway.load import InFlight
 from ramppost.gateway.pick import Selection, prompt_urgency
 from ramppost.gateway.state import Gateway
 from ramppost.platform.headers import AnswerHead, Send, upstream_head
@@ -51,7 +51,7 @@
     model: str
     exchange: Exchange
     head: AnswerHead
-    work: OwnWork
+    work: InFlight
     sent_at: float
     first_s: float
 
@@ -63,21 +63,21 @@
     upstream = chosen.upstream
     job.tried_upstreams.add(upstream.key)
     started_at = clock.now()
-    work = gw.loads.own(upstream.key)
+    work = gw.loads.in_flight(upstream.key)
     work.requests += 1
     work.pending += 1
     pending_prompt = _pending_prompt(gw, job, chosen, model, started_at)
     attempt_key = f"{job.req.attempt_id[:KEY_ID_CHARS]}-{next(_attempt_numbers)}"
     if pending_prompt is not None:
         gw.prefill_rates.record_sent(pending_prompt.read_s)
-        gw.backlogs.sent(upstream, attempt_key, pending_prompt)
+        gw.backlogs.record_sent(upstream, attempt_key, pending_prompt)
     result: Running | Refused | NotSent | Broken = Broken("cancelled")
     try:
         result = await _send_and_wait(gw, job, chosen, model, work, pending_prompt)
     finally:
         work.pending -= 1
         if pending_prompt is not None:
-            gw.backlogs.over(upstream, attempt_key, isinstance(result, Running))
+            gw.backlogs.record_done(upstream, attempt_key, isinstance(result, Running))
         if not isinstance(result, Running):
             work.requests -= 1
         _record_outcome(gw, job, chosen, model, result, clock.now() - started_at)
@@ -109,7 +109,7 @@
     job: Job,
     chosen: Selection,
     model: str,
-    work: OwnWork,
+    work: InFlight,
     pending_prompt: PendingPrompt | None,
 ) -> Running | Refused | NotSent | Broken:
     urgency = pending_prompt.level if pending_prompt is not None else None
@@ -128,13 +128,13 @@
         return exchange
     handled = False
     try:
-        with gw.fatal.waiting(job.fingerprint, exchange):
+        with gw.fatal.abort_if_fatal(job.fingerprint, exchange):
             head = await _read_head_in_time(gw, job, chosen, exchange)
         if isinstance(head, Broken):
             return head
         now = clock.now()
         if head.running is not None:
-            gw.loads.report(chosen.upstream.key, head.running, head.waiting or 0, now)
+            gw.loads.record_report(chosen.upstream.key, head.running, head.waiting or 0, now)
         if head.not_run:
             job.may_have_run = ran_before
             await exchange.abort()
@@ -164,7 +164,7 @@
         return NotSent("not sent: its data hall was evacuated on the way", withheld=True)
     if gw.warmups.wait_s(chosen.service, chosen.upstream, now) > 0:
         return NotSent("not sent: warming up, and sent enough meanwhile", withheld=True)
-    gw.warmups.sent(chosen.service, chosen.upstream, now)
+    gw.warmups.record_sent(chosen.service, chosen.upstream, now)
     routing = Send(
         chosen.upstream,
         job.left_s(now),
@@ -182,7 +182,7 @@
     gw: Gateway, job: Job, chosen: Selection, exchange: Exchange
 ) -> AnswerHead | Broken:
     """Read the response head; Broken if the upstream is silent and another may be tried."""
-    if job.route.repeat == "never" or job.counted_attempts >= job.route.attempts:
+    if job.route.retry_mode == "never" or job.counted_attempts >= job.route.attempts:
         return await exchange.read_head()
     objective_part_s = TIMEOUT_OBJECTIVE_RATIO * job.route.objective_s
     timeout_s = (
--- a/ramppost/gateway/backlogs.py
+++ b/ramppost/gateway/backlogs.py
@@ -33,15 +33,15 @@
 ASK_TIMEOUT_S: Final = 0.05
 """A datagram waits behind a long prompt on a link of 5 Mbit/s for 30 ms; this is a fortieth of
 the tightest objective of a stream."""
-MISSES: Final = 2
+MAX_MISSED_REPLIES: Final = 2
 """Questions in a row that a keeper may leave unanswered: links lose a datagram now and then."""
-SILENT_S: Final = 2.0
+KEEPER_EXCLUSION_S: Final = 2.0
 """How long a keeper that did not answer is left out."""
 MAX_ENGINES: Final = 4096
 """Backlogs that are kept: more than a fleet has engines, should ids be made up."""
 
 
-class Told(NamedTuple):
+class BacklogEstimate(NamedTuple):
     """What is known of an engine's backlog: by the word of all gateways (`complete`), where its
     keeper has answered or is this one, or by own prompts alone.
 
@@ -50,14 +50,14 @@
     """
 
     ahead_s: float
-    kept: int
+    cached_parts: int
     complete: bool
 
 
-NOTHING_KNOWN: Final = Told(0.0, 0, False)
+EMPTY_ESTIMATE: Final = BacklogEstimate(0.0, 0, False)
 
 
-class Question(NamedTuple):
+class BacklogQuery(NamedTuple):
     """A prompt that is to be placed: its level, the model that reads it, names of its parts."""
 
     level: int
@@ -65,14 +65,14 @@
     parts: tuple[str, ...]
 
 
-class _Asked:
+class _PendingQuery:
     """A question under way: keepers that have not answered, and what the others told."""
 
     def __init__(self, engines: dict[int, list[str]], model: str) -> None:
         self.engines = engines
         self.model = model
-        self.views: dict[str, Told] = {}
-        self.answered = curio.Event()
+        self.estimates: dict[str, BacklogEstimate] = {}
+        self.all_answered = curio.Event()
 
 
 class Backlogs:
@@ -93,20 +93,22 @@
         self._metrics = metrics
         self._backlogs: dict[str, Backlog] = {}
         self._silent_until: dict[str, float] = {}
-        self._misses: dict[str, int] = {}
+        self._missed_replies: dict[str, int] = {}
         """Questions that keepers have left unanswered in a row."""
         self._keepers: dict[str, str] = {}
         """Keepers by engine, for the gateways that are known and silent in `_ranked_for`."""
-        self._ranked_for: tuple[int, frozenset[str]] = (-1, frozenset())
-        self._asked: dict[int, _Asked] = {}
+        self._keepers_valid_for: tuple[int, frozenset[str]] = (-1, frozenset())
+        self._pending: dict[int, _PendingQuery] = {}
         self._ids = itertools.count(1)
 
     # --- what this gateway sends
 
-    async def ask(self, engines: list[Upstream], question: Question) -> dict[str, Told]:
+    async def ask(
+        self, engines: list[Upstream], question: BacklogQuery
+    ) -> dict[str, BacklogEstimate]:
         """What is known of engines for a prompt that is to be placed on one of them."""
         now = clock.now()
-        told = {engine.key: self.known(engine.key, question, now) for engine in engines}
+        told = {engine.key: self.local_estimate(engine.key, question, now) for engine in engines}
         by_keeper: dict[str, list[str]] = {}
         for engine in engines:
             keeper = self.keeper(engine, now)
@@ -118,18 +120,20 @@
             return told
         for name, view in (await self._ask_keepers(by_keeper, question)).items():
             own = told[name]
-            told[name] = Told(max(own.ahead_s, view.ahead_s), max(own.kept, view.kept), True)
+            told[name] = BacklogEstimate(
+                max(own.ahead_s, view.ahead_s), max(own.cached_parts, view.cached_parts), True
+            )
         return told
 
-    def known(self, engine: str, question: Question, now: float) -> Told:
+    def local_estimate(self, engine: str, question: BacklogQuery, now: float) -> BacklogEstimate:
         """What the backlog here tells of an engine, without asking anybody."""
         backlog = self._backlogs.get(engine)
         if backlog is None:
-            return NOTHING_KNOWN
+            return EMPTY_ESTIMATE
         kept = backlog.cached_parts(question.model, question.parts, now)
-        return Told(backlog.ahead_s(question.level, now), kept, False)
+        return BacklogEstimate(backlog.ahead_s(question.level, now), kept, False)
 
-    def sent(self, engine: Upstream, key: str, reading: PendingPrompt) -> None:
+    def record_sent(self, engine: Upstream, key: str, reading: PendingPrompt) -> None:
         """A prompt is on its way to an engine."""
         self._backlog(engine.key).add(key, reading)
         note = BacklogSent(
@@ -140,13 +144,13 @@
             model=reading.model,
             parts=list(reading.parts),
         )
-        self._tell_keeper(engine, PeerDatagram(sent=note))
+        self._notify_keeper(engine, PeerDatagram(sent=note))
 
-    def over(self, engine: Upstream, key: str, began: bool) -> None:
+    def record_done(self, engine: Upstream, key: str, began: bool) -> None:
         """A prompt has its first token, or will never have one there."""
-        self._note_over(engine.key, key, began)
+        self._apply_done(engine.key, key, began)
         note = BacklogOver(key=key, engine=engine.key, began=began)
-        self._tell_keeper(engine, PeerDatagram(over=note))
+        self._notify_keeper(engine, PeerDatagram(over=note))
 
     def forget(self, engine: str) -> None:
         """An engine has left."""
@@ -159,8 +163,8 @@
         """Who keeps an engine's backlog; ranked again only when gateways come or fall silent."""
         silent = frozenset(name for name, until in self._silent_until.items() if until > now)
         known = (self._peers.changes, silent)
-        if known != self._ranked_for:
-            self._ranked_for = known
+        if known != self._keepers_valid_for:
+            self._keepers_valid_for = known
             self._keepers.clear()
         found = self._keepers.get(engine.key)
         if found is None:
@@ -169,13 +173,13 @@
         return found
 
     async def _ask_keepers(
-        self, by_keeper: dict[str, list[str]], question: Question
-    ) -> dict[str, Told]:
+        self, by_keeper: dict[str, list[str]], question: BacklogQuery
+    ) -> dict[str, BacklogEstimate]:
         ids = {next(self._ids): keeper for keeper in by_keeper}
         engines = {number: by_keeper[keeper] for number, keeper in ids.items()}
-        asked = _Asked(engines, question.model)
+        asked = _PendingQuery(engines, question.model)
         for number, keeper in ids.items():
-            self._asked[number] = asked
+            self._pending[number] = asked
             ask = BacklogAsk(
                 id=number,
                 engines=by_keeper[keeper],
@@ -185,69 +189,71 @@
             )
             self._datagrams.send(parse_address(self._peers.addrs[keeper]), PeerDatagram(ask=ask))
         try:
-            await curio.ignore_after(ASK_TIMEOUT_S, asked.answered.wait)
+            await curio.ignore_after(ASK_TIMEOUT_S, asked.all_answered.wait)
         finally:
             for number in ids:
-                self._asked.pop(number, None)
+                self._pending.pop(number, None)
         for number, keeper in ids.items():
-            self._heard(keeper, number not in asked.engines)
-        return asked.views
+            self._record_reply(keeper, number not in asked.engines)
+        return asked.estimates
 
-    def _heard(self, keeper: str, answered: bool) -> None:
+    def _record_reply(self, keeper: str, answered: bool) -> None:
         """Whether a keeper has answered a question in time; one that goes on not to is left out."""
         if answered:
-            self._misses.pop(keeper, None)
+            self._missed_replies.pop(keeper, None)
             return
-        self._misses[keeper] = self._misses.get(keeper, 0) + 1
-        if self._misses[keeper] < MISSES:
+        self._missed_replies[keeper] = self._missed_replies.get(keeper, 0) + 1
+        if self._missed_replies[keeper] < MAX_MISSED_REPLIES:
             return
-        self._silent_until[keeper] = clock.now() + SILENT_S
+        self._silent_until[keeper] = clock.now() + KEEPER_EXCLUSION_S
         self._metrics.count("ramppost_backlog_silences_total")
-        logger.info("keeper of backlogs does not answer", peer=keeper, left_out_s=SILENT_S)
+        logger.info(
+            "keeper of backlogs does not answer", peer=keeper, left_out_s=KEEPER_EXCLUSION_S
+        )
 
-    def _tell_keeper(self, engine: Upstream, msg: PeerDatagram) -> None:
+    def _notify_keeper(self, engine: Upstream, msg: PeerDatagram) -> None:
         keeper = self.keeper(engine, clock.now())
         if keeper not in ("", self.own):
             self._datagrams.send(parse_address(self._peers.addrs[keeper]), msg)
 
     # --- what others send
 
-    async def take(self, msg: PeerDatagram, addr: Address) -> None:
+    async def handle_datagram(self, msg: PeerDatagram, addr: Address) -> None:
         """Take in what another gateway asks or tells of engines."""
         if "ask" in msg:
-            self._datagrams.send(addr, PeerDatagram(view=self._view(msg["ask"])))
+            self._datagrams.send(addr, PeerDatagram(view=self._view_for(msg["ask"])))
         if "view" in msg:
-            await self._answered(msg["view"])
+            await self._handle_view(msg["view"])
         if "sent" in msg:
-            self._note_sent(msg["sent"])
+            self._apply_sent(msg["sent"])
         if "over" in msg:
-            self._note_over(msg["over"]["engine"], msg["over"]["key"], msg["over"]["began"])
+            self._apply_done(msg["over"]["engine"], msg["over"]["key"], msg["over"]["began"])
 
-    def _view(self, ask: BacklogAsk) -> BacklogView:
+    def _view_for(self, ask: BacklogAsk) -> BacklogView:
         now = clock.now()
-        question = Question(ask["level"], ask["model"], tuple(ask["parts"]))
-        views = [self.known(engine, question, now) for engine in ask["engines"]]
+        question = BacklogQuery(ask["level"], ask["model"], tuple(ask["parts"]))
+        views = [self.local_estimate(engine, question, now) for engine in ask["engines"]]
         return BacklogView(
             id=ask["id"],
             ahead_ms=[round(view.ahead_s * 1000) for view in views],
-            kept=[view.kept for view in views],
+            kept=[view.cached_parts for view in views],
             token_ns=round(self._rates.own_rate_s(ask["model"]) * 1e9),
         )
 
-    async def _answered(self, view: BacklogView) -> None:
-        asked = self._asked.get(view["id"])
+    async def _handle_view(self, view: BacklogView) -> None:
+        asked = self._pending.get(view["id"])
         engines = asked.engines.pop(view["id"], None) if asked is not None else None
         if asked is None or engines is None:
             return
         for engine, ahead_ms, kept in zip(engines, view["ahead_ms"], view["kept"], strict=False):
-            asked.views[engine] = Told(ahead_ms / 1000, kept, True)
+            asked.estimates[engine] = BacklogEstimate(ahead_ms / 1000, kept, True)
         self._rates.accept_peer_rate(asked.model, view["token_ns"] / 1e9)
         if not asked.engines:
-            await asked.answered.set()
+            await asked.all_answered.set()
 
     # --- backlogs
 
-    def _note_sent(self, note: BacklogSent) -> None:
+    def _apply_sent(self, note: BacklogSent) -> None:
         reading = PendingPrompt(
             clock.now(),
             note["read_ms"] / 1000,
@@ -257,7 +263,7 @@
         )
         self._backlog(note["engine"]).add(note["key"], reading)
 
-    def _note_over(self, engine: str, key: str, began: bool) -> None:
+    def _apply_done(self, engine: str, key: str, began: bool) -> None:
         backlog = self._backlog(engine)
         if began:
             backlog.record_first_token(key, clock.now())
--- a/ramppost/gateway/copies.py
+++ b/ramppost/gateway/copies.py
@@ -22,63 +22,63 @@
 
 COPY_PATH: Final = "/x/copy"
 COPY_TYPE: Final = "application/octet-stream"
-WAIT_S: Final = 0.3
+LOADING_WAIT_S: Final = 0.3
 """How long an answer is held back for an object that is being loaded here: some copies' time, and
 less than whoever asks waits for an answer to begin."""
 
 
-class Packed(NamedTuple):
+class PackedCopy(NamedTuple):
     """A copy ready to be sent, and the revision that it holds."""
 
     revision: int
     data: bytes
 
 
-def copies(gw: Gateway) -> Handler:
+def copy_handler(gw: Gateway) -> Handler:
     """Answers what other gateways ask at `COPY_PATH`: 404 for what is not here as new."""
-    packed: dict[tuple[str, str], Packed] = {}
+    packed: dict[tuple[str, str], PackedCopy] = {}
 
     async def handle(req: Request, reply: Reply) -> None:
         kind, name = req.query.get("kind", ""), req.query.get("name", "")
         followed = gw.replicas.get(kind)
-        obj = await _had(gw, followed, name) if followed is not None else None
-        if obj is None or obj.revision < _revision(req):
+        obj = await _wait_for_object(gw, followed, name) if followed is not None else None
+        if obj is None or obj.revision < _requested_revision(req):
             await reply.send(404, encode({"error": "not here, or not as new"}))
             return
         held = packed.get((kind, name))
         if held is None or held.revision != obj.revision:
-            held = packed[kind, name] = Packed(obj.revision, pack(obj))
+            held = packed[kind, name] = PackedCopy(obj.revision, encode_copy(obj))
         await reply.send(200, held.data, COPY_TYPE)
 
     return handle
 
 
-async def _had(gw: Gateway, followed: KindReplica, name: str) -> StoredObject | None:
+async def _wait_for_object(gw: Gateway, followed: KindReplica, name: str) -> StoredObject | None:
     """The object, also where it is here in a moment."""
-    until = clock.now() + WAIT_S
+    until = clock.now() + LOADING_WAIT_S
     while name in followed.pending and (left_s := until - clock.now()) > 0:
         await gw.updates.wait(left_s)
     return followed.complete_object(name)
 
 
-def _revision(req: Request) -> float:
+def _requested_revision(req: Request) -> float:
     """The revision that is asked for; infinite where that is no number."""
     text = req.query.get("revision", "")
     return int(text) if text.isdecimal() else float("inf")
 
 
-def pack(obj: StoredObject) -> bytes:
+def encode_copy(obj: StoredObject) -> bytes:
     """An object as it is sent."""
     copy = ObjectCopy(revision=obj.revision, spec=obj.spec, status=obj.status)
     return packing.pack(encode(copy))
 
 
-def unpack(name: str, data: bytes) -> StoredObject | BadMessage:
+def decode_copy(name: str, data: bytes) -> StoredObject | BadMessage:
     """An object as it was sent.
 
-    >>> unpack("main", pack(StoredObject("main", 7, {"version": 1}, None)))
+    >>> decode_copy("main", encode_copy(StoredObject("main", 7, {"version": 1}, None)))
     StoredObject(name='main', revision=7, spec={'version': 1}, status=None, whole=True)
-    >>> unpack("main", b"no copy")  # doctest: +ELLIPSIS
+    >>> decode_copy("main", b"no copy")  # doctest: +ELLIPSIS
     BadMessage(reason='not unpacked: Error -3 ... incorrect header check')
     """
     body = packing.unpack(data)
--- a/ramppost/gateway/counts.py
+++ b/ramppost/gateway/counts.py
@@ -19,7 +19,7 @@
 """Classes that are counted: workspaces times routes, which a configuration may add by hundreds."""
 
 
-class Ended(NamedTuple):
+class EndedRequest(NamedTuple):
     """A request that has ended.  `took_s` is the time to the head of its answer, or to its end;
     `policy` is empty where the caller named a model; `confidence` is 0 to 100."""
 
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self.window = OutcomeWindow()
-        self.first = Histogram()
+        self.response_times = Histogram()
 
 
 class Counts:
@@ -48,12 +48,12 @@
         self.policies: dict[str, PolicyStats] = {}
         self.classes: dict[WorkspaceClass, ClassCount] = {}
 
-    def ended(self, req: Ended) -> None:
+    def record(self, req: EndedRequest) -> None:
         """Count a request's end."""
-        cls = self._class_of(req)
+        cls = self._count_for(req)
         cls.window.add(req.served and req.took_s <= req.objective_s, time.time())
         if req.served:
-            cls.first.observe(req.took_s)
+            cls.response_times.observe(req.took_s)
         if not req.policy:
             return
         count = self.policies.setdefault(req.policy, PolicyStats())
@@ -75,14 +75,14 @@
                     count.window,
                     OBJECTIVE_SHARE,
                     now,
-                    percentile_ms(count.first, 0.5),
-                    percentile_ms(count.first, 0.99),
+                    percentile_ms(count.response_times, 0.5),
+                    percentile_ms(count.response_times, 0.99),
                 )
                 for cls, count in self.classes.items()
             ],
         )
 
-    def _class_of(self, req: Ended) -> ClassCount:
+    def _count_for(self, req: EndedRequest) -> ClassCount:
         cls = WorkspaceClass(req.workspace, req.route)
         if cls not in self.classes and len(self.classes) >= MAX_CLASSES:
             cls = WorkspaceClass("", "others")
--- a/ramppost/gateway/datagrams.py
+++ b/ramppost/gateway/datagrams.py
@@ -13,10 +13,10 @@
 from ramppost.schema.messages import PeerDatagram
 from ramppost.wire.codec import BadMessage, decode, encode
 
-MAX_BYTES: Final = 8192
+MAX_DATAGRAM_BYTES: Final = 8192
 
 Address = tuple[str, int]
-Take = Callable[[PeerDatagram, Address], Awaitable[None]]
+DatagramHandler = Callable[[PeerDatagram, Address], Awaitable[None]]
 """Takes in what came from an address."""
 
 
@@ -27,14 +27,14 @@
         self._metrics = metrics
         self._sock: Any = None
 
-    async def listen(self, ip: str, port: int, take: Take) -> None:
+    async def listen(self, ip: str, port: int, take: DatagramHandler) -> None:
         """Take in datagrams until cancelled."""
         sock = curio.socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind((ip, port))
         self._sock = sock
         async with sock:
             while True:
-                data, addr = await sock.recvfrom(MAX_BYTES)
+                data, addr = await sock.recvfrom(MAX_DATAGRAM_BYTES)
                 msg = decode(data, PeerDatagram)
                 if isinstance(msg, BadMessage):
                     logger.warning("datagram not understood: {}", msg.reason, peer=addr[0])
--- a/ramppost/gateway/departures.py
+++ b/ramppost/gateway/departures.py
@@ -17,24 +17,24 @@
 from ramppost.policy.departures import retry_delay_s
 from ramppost.schema.messages import LeavingNote, PeerDatagram
 
-TELL_EVERY_S: Final = 1.0
+ANNOUNCE_INTERVAL_S: Final = 1.0
 """A datagram may be lost, and a gateway that starts meanwhile has to hear, too."""
-RESTART_S: Final = 1.0
+RESTART_DELAY_S: Final = 1.0
 """From the end of a process to when it takes callers again, where it is started again: half a
 second until it is started, and as long until it has a configuration."""
 
 
-async def tell_leaving(gw: Gateway) -> None:
+async def announce_leaving(gw: Gateway) -> None:
     """Tell the gateways that its callers may come to when this one is back, until cancelled."""
     while True:
         back_s = max(0.0, gw.resume_at - clock.now())
         note = LeavingNote(name=gw.cfg["name"], back_ms=round(back_s * 1000))
         for name in gw.peers.local_peers():
             gw.datagrams.send(parse_address(gw.peers.addrs[name]), PeerDatagram(leaving=note))
-        await curio.sleep(TELL_EVERY_S)
+        await curio.sleep(ANNOUNCE_INTERVAL_S)
 
 
-def heard_leaving(gw: Gateway, note: LeavingNote) -> None:
+def handle_leaving_note(gw: Gateway, note: LeavingNote) -> None:
     """Another gateway is stopping."""
     now = clock.now()
     back_s = note["back_ms"] / 1000
--- a/ramppost/gateway/evacuations.py
+++ b/ramppost/gateway/evacuations.py
@@ -52,7 +52,7 @@
         hall=hall,
         revision=revision,
         upstreams=len(affected),
-        running=sum(gw.loads.own(upstream.key).requests for upstream in affected),
+        running=sum(gw.loads.in_flight(upstream.key).requests for upstream in affected),
     )
 
 
--- a/ramppost/gateway/fatal_doc.py
+++ b/ramppost/gateway/fatal_doc.py
@@ -35,57 +35,57 @@
 FATAL_KIND: Final = "fatal-requests"
 FATAL_NAME: Final = "main"
 """The one document of this kind; a kind of our own in the store."""
-SPREAD_S: Final = 0.2
+WRITE_SPREAD_S: Final = 0.2
 """Relays write within this of each other, and so do the others after them."""
-RETRY_S: Final = 0.3
-LOOK_S: Final = 0.2
+RETRY_DELAY_S: Final = 0.3
+POLL_INTERVAL_S: Final = 0.2
 """How often to look whether there is something to write."""
-KEPT_S: Final = 86_400
+RETENTION_S: Final = 86_400
 """Each time that a request is forgotten it ends some upstreams before it is found again."""
 
 
 def fatal_listed(gw: Gateway, snapshot: Snapshot) -> None:
     """The kind was listed."""
     there = any(obj.name == FATAL_NAME for obj in snapshot.objects)
-    if gw.fatal.agreed and not there:
-        _removed(gw)
+    if gw.fatal.published and not there:
+        _apply_removal(gw)
     for obj in snapshot.objects:
-        _seen(gw, obj)
+        _apply_document(gw, obj)
 
 
 def fatal_changed(gw: Gateway, change: Change) -> None:
     """An object of the kind was written or removed."""
     if not change.removed:
-        _seen(gw, change.obj)
+        _apply_document(gw, change.obj)
     elif change.obj.name == FATAL_NAME:
-        _removed(gw)
+        _apply_removal(gw)
 
 
-async def keep_document(gw: Gateway) -> None:
+async def sync_document(gw: Gateway) -> None:
     """Write what is found here, and take out what was answered well, until cancelled."""
     place = hash_fraction("fatal", gw.cfg["name"])
     while True:
-        await curio.sleep(LOOK_S)
-        if not _differs(gw):
+        await curio.sleep(POLL_INTERVAL_S)
+        if not _needs_write(gw):
             continue
-        await curio.sleep(gw.peers.write_delay_s(SPREAD_S, place, clock.now()))
-        while _differs(gw) and not await _write(gw):
-            await curio.sleep(RETRY_S)
+        await curio.sleep(gw.peers.write_delay_s(WRITE_SPREAD_S, place, clock.now()))
+        while _needs_write(gw) and not await _write(gw):
+            await curio.sleep(RETRY_DELAY_S)
 
 
-def _differs(gw: Gateway) -> bool:
-    return bool(gw.fatal.unwritten or gw.fatal.cleared)
+def _needs_write(gw: Gateway) -> bool:
+    return bool(gw.fatal.unpublished or gw.fatal.cleared)
 
 
-def _removed(gw: Gateway) -> None:
+def _apply_removal(gw: Gateway) -> None:
     logger.info("fatal requests removed from the store; all may run again")
-    gw.fatal.release()
+    gw.fatal.reset()
 
 
-def _seen(gw: Gateway, obj: StoredObject) -> None:
-    doc = gw.unreadable.decoded(FATAL_KIND, obj, FatalDoc)
+def _apply_document(gw: Gateway, obj: StoredObject) -> None:
+    doc = gw.unreadable.decode_spec(FATAL_KIND, obj, FatalDoc)
     if doc is not None and obj.name == FATAL_NAME:
-        gw.fatal.agree(doc["requests"])
+        gw.fatal.apply_document(doc["requests"])
 
 
 async def _write(gw: Gateway) -> bool:
@@ -95,12 +95,12 @@
         logger.warning("fatal requests not written yet: {}", held.reason)
         return False
     if isinstance(held, StoredObject):
-        _seen(gw, held)
-        if not _differs(gw):
+        _apply_document(gw, held)
+        if not _needs_write(gw):
             return True
     else:
-        gw.fatal.agree([])
-    doc, written = _joined(gw.fatal), dict(gw.fatal.unwritten)
+        gw.fatal.apply_document([])
+    doc, written = _merge(gw.fatal), dict(gw.fatal.unpublished)
     got: StoredObject | Conflict | Unavailable
     if isinstance(held, Missing):
         got = await create(gw.store, FATAL_KIND, FATAL_NAME, doc)
@@ -110,20 +110,20 @@
         logger.info("fatal requests not written yet", outcome=type(got).__name__)
         return False
     logger.info("fatal requests written", count=len(doc["requests"]), revision=got.revision)
-    _seen(gw, got)
-    gw.fatal.written(written)
+    _apply_document(gw, got)
+    gw.fatal.mark_published(written)
     return True
 
 
-def _joined(fatal: FatalRequests) -> FatalDoc:
+def _merge(fatal: FatalRequests) -> FatalDoc:
     """The document with what was found and without what was cleared or is old; where it would
     be too long, those that are certain stay before the others, and the newest of each."""
     now = int(time.time())
     young = {
         fingerprint: one
-        for fingerprint, one in fatal.agreed.items()
-        if now - one["at"] < KEPT_S and fingerprint not in fatal.cleared
+        for fingerprint, one in fatal.published.items()
+        if now - one["at"] < RETENTION_S and fingerprint not in fatal.cleared
     }
-    together = [*(young | fatal.unwritten).values()]
+    together = [*(young | fatal.unpublished).values()]
     newest = sorted(together, key=lambda one: (one["certain"], one["at"]))[-MAX_FATAL:]
     return FatalDoc(requests=newest)
--- a/ramppost/gateway/freshness.py
+++ b/ramppost/gateway/freshness.py
@@ -15,7 +15,7 @@
 
 from typing import Final
 
-MARGIN_S: Final = 0.3
+SAFETY_MARGIN_S: Final = 0.3
 """Kept from the bound for the way from this check to the upstream."""
 
 
@@ -23,33 +23,33 @@
     """The newest confirmation; times on the steady clock, in seconds."""
 
     def __init__(self, bound_s: float, serve_unconfirmed: bool = False) -> None:
-        self.bound_s = bound_s
+        self.max_age_s = bound_s
         self.serve_unconfirmed = serve_unconfirmed
         """Whether the last known keys work on while no confirmation can be had."""
-        self._sent_at = float("-inf")
+        self._confirmed_at = float("-inf")
 
     def confirm(self, sent_at: float) -> None:
         """A call sent then was answered, and the configuration in force was the newest."""
-        self._sent_at = max(self._sent_at, sent_at)
+        self._confirmed_at = max(self._confirmed_at, sent_at)
 
     @property
-    def known(self) -> bool:
+    def ever_confirmed(self) -> bool:
         """Whether there was ever a confirmation."""
-        return self._sent_at > float("-inf")
+        return self._confirmed_at > float("-inf")
 
     def age(self, now: float) -> float:
         """Seconds since the newest confirming call was sent; infinite where there is none."""
-        return now - self._sent_at
+        return now - self._confirmed_at
 
-    def holds(self, now: float) -> bool:
+    def is_fresh(self, now: float) -> bool:
         """Whether the configuration is known to be new enough for every withdrawal to count.
 
         >>> fresh = Freshness(5.0)
         >>> fresh.confirm(100.0)
-        >>> fresh.holds(104.0), fresh.holds(105.0)
+        >>> fresh.is_fresh(104.0), fresh.is_fresh(105.0)
         (True, False)
         """
-        return self.age(now) < self.bound_s - MARGIN_S
+        return self.age(now) < self.max_age_s - SAFETY_MARGIN_S
 
     def may_start(self, now: float) -> bool:
         """Whether work for a key may start.
@@ -61,7 +61,7 @@
         >>> lenient.may_start(100.0)
         False
         >>> lenient.confirm(100.0)
-        >>> lenient.holds(200.0), lenient.may_start(200.0)
+        >>> lenient.is_fresh(200.0), lenient.may_start(200.0)
         (False, True)
         """
-        return self.holds(now) or (self.serve_unconfirmed and self.known)
+        return self.is_fresh(now) or (self.serve_unconfirmed and self.ever_confirmed)
--- a/ramppost/gateway/job.py
+++ b/ramppost/gateway/job.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from ramppost.gateway.admit import Admitted
-from ramppost.gateway.backlogs import Told
+from ramppost.gateway.backlogs import BacklogEstimate
 from ramppost.gateway.model import CallerRequest
 from ramppost.policy.fingerprint import fingerprint
 
@@ -14,7 +14,7 @@
     """What was told of engines for a model, and when (steady clock)."""
 
     model: str
-    backlogs: dict[str, Told]
+    backlogs: dict[str, BacklogEstimate]
     taken_at: float
 
 
--- a/ramppost/gateway/load.py
+++ b/ramppost/gateway/load.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class Reported(NamedTuple):
+class LoadReport(NamedTuple):
     """An upstream's last report: requests running and waiting, at a time."""
 
     running: int
@@ -13,10 +13,10 @@
     at: float
 
 
-NEVER = Reported(0, 0, float("-inf"))
+NO_REPORT = LoadReport(0, 0, float("-inf"))
 
 
-class OwnWork:
+class InFlight:
     """What this gateway has under way at an upstream."""
 
     def __init__(self) -> None:
@@ -29,23 +29,23 @@
     """Load by upstream, each start by itself."""
 
     def __init__(self) -> None:
-        self._own: dict[str, OwnWork] = {}
-        self._reported: dict[str, Reported] = {}
+        self._in_flight: dict[str, InFlight] = {}
+        self._reports: dict[str, LoadReport] = {}
 
-    def own(self, upstream_key: str) -> OwnWork:
+    def in_flight(self, upstream_key: str) -> InFlight:
         """What is under way there."""
-        return self._own.setdefault(upstream_key, OwnWork())
+        return self._in_flight.setdefault(upstream_key, InFlight())
 
-    def reported(self, upstream_key: str) -> Reported:
+    def last_report(self, upstream_key: str) -> LoadReport:
         """What it last said."""
-        return self._reported.get(upstream_key, NEVER)
+        return self._reports.get(upstream_key, NO_REPORT)
 
-    def report(self, upstream_key: str, running: int, waiting: int, now: float) -> None:
+    def record_report(self, upstream_key: str, running: int, waiting: int, now: float) -> None:
         """It said this with an answer."""
-        self._reported[upstream_key] = Reported(running, waiting, now)
+        self._reports[upstream_key] = LoadReport(running, waiting, now)
 
     def forget(self, upstream_key: str) -> None:
         """It has left; work still under way keeps its own count."""
-        self._reported.pop(upstream_key, None)
-        if upstream_key in self._own and not self._own[upstream_key].requests:
-            del self._own[upstream_key]
+        self._reports.pop(upstream_key, None)
+        if upstream_key in self._in_flight and not self._in_flight[upstream_key].requests:
+            del self._in_flight[upstream_key]
--- a/ramppost/gateway/loading.py
+++ b/ramppost/gateway/loading.py
@@ -16,7 +16,7 @@
 from loguru import logger
 
 from ramppost import clock
-from ramppost.gateway.copies import COPY_PATH, unpack
+from ramppost.gateway.copies import COPY_PATH, decode_copy
 from ramppost.gateway.follow import FIRST_BACKOFF_S, MAX_BACKOFF_S, KindReplica, PendingObject
 from ramppost.gateway.state import Gateway
 from ramppost.platform.store import Missing, StoredObject, Unavailable, read
@@ -132,7 +132,7 @@
         return LoadFailed(answer.reason)
     if answer.status != 200:
         return LoadFailed(f"status {answer.status}")
-    obj = unpack(task.name, answer.body)
+    obj = decode_copy(task.name, answer.body)
     return LoadFailed(obj.reason) if isinstance(obj, BadMessage) else obj
 
 
--- a/ramppost/gateway/main.py
+++ b/ramppost/gateway/main.py
@@ -13,10 +13,10 @@
 
 from ramppost import clock, logs
 from ramppost.errors import error_body, refusal
-from ramppost.gateway.datagrams import Address, Take
-from ramppost.gateway.departures import RESTART_S, heard_leaving, tell_leaving
+from ramppost.gateway.datagrams import Address, DatagramHandler
+from ramppost.gateway.departures import RESTART_DELAY_S, announce_leaving, handle_leaving_note
 from ramppost.gateway.early import parse_address
-from ramppost.gateway.fatal_doc import keep_document
+from ramppost.gateway.fatal_doc import sync_document
 from ramppost.gateway.inbound import BadRequest, ServerHooks, accept_callers
 from ramppost.gateway.joining import join
 from ramppost.gateway.loading import load_pending
@@ -80,8 +80,8 @@
         gw.datagrams.listen, cfg["ip"], cfg["internal_port"], _datagram_handler(gw), daemon=True
     )
     await curio.spawn(load_pending, gw, daemon=True)
-    await curio.spawn(gw.fatal.tell, daemon=True)
-    await curio.spawn(keep_document, gw, daemon=True)
+    await curio.spawn(gw.fatal.send_ends, daemon=True)
+    await curio.spawn(sync_document, gw, daemon=True)
     metrics_socket = listen(cfg["ip"], cfg["metrics_port"])
     await curio.spawn(serve_http, metrics_socket, _metrics_handler(gw), daemon=True)
     doorway = ServerHooks(
@@ -149,8 +149,8 @@
     gw.draining = True
     logger.info("stopping", signal=signal_number, busy=gw.callers.busy)
     deadline = started_at + gw.cfg["timing"]["stop_s"] - STOP_MARGIN_S
-    gw.resume_at = deadline + RESTART_S
-    await curio.spawn(tell_leaving, gw, daemon=True)
+    gw.resume_at = deadline + RESTART_DELAY_S
+    await curio.spawn(announce_leaving, gw, daemon=True)
     await curio.sleep(MIN_STOP_S)
     gw.refusal_scope = "streams"
     while (now := clock.now()) < deadline and gw.callers.busy:
@@ -161,18 +161,18 @@
     logger.info("stopped", left_busy=gw.callers.busy, after_s=round(now - started_at, 2))
 
 
-def _datagram_handler(gw: Gateway) -> Take:
+def _datagram_handler(gw: Gateway) -> DatagramHandler:
     """The handler of datagrams from other gateways."""
 
     async def take(message: PeerDatagram, addr: Address) -> None:
         if "leaving" in message:
-            heard_leaving(gw, message["leaving"])
+            handle_leaving_note(gw, message["leaving"])
         elif "ended" in message or "harmless" in message:
             if "ended" in message and message["ended"]["gone"]:
-                gw.members.ended(message["ended"]["upstream"], clock.now())
-            gw.fatal.take(message)
+                gw.members.mark_ended(message["ended"]["upstream"], clock.now())
+            gw.fatal.handle_datagram(message)
         else:
-            await gw.backlogs.take(message, addr)
+            await gw.backlogs.handle_datagram(message, addr)
 
     return take
 
--- a/ramppost/gateway/membership.py
+++ b/ramppost/gateway/membership.py
@@ -18,12 +18,12 @@
 
 from ramppost.gateway.model import Upstream
 
-LAPSE_GRACE_S: Final = 1.6
+EXPIRY_GRACE_S: Final = 1.6
 """Entries that lapsed in an outage are back about 2 s after it, and an upstream that was
 removed for good must get nothing after 2 s: the margin is for the way to it."""
 
 
-ENDED_S: Final = 4.0
+ENDED_EXCLUSION_S: Final = 4.0
 """The entry of one that has ended goes after three of its heartbeats, of 1.2 s and less."""
 
 
@@ -33,7 +33,7 @@
 
     upstream: Upstream
     drop_at: float | None
-    ended_until: float = float("-inf")
+    excluded_until: float = float("-inf")
 
 
 class Members:
@@ -41,9 +41,9 @@
 
     def __init__(self) -> None:
         self._members: dict[str, Member] = {}
-        self._gone: list[Upstream] = []
+        self._ended_incarnations: list[Upstream] = []
         self._evacuated_halls: frozenset[str] = frozenset()
-        self._listed: dict[str, list[Upstream]] = {}
+        self._usable_cache: dict[str, list[Upstream]] = {}
         """Upstreams of a service that take new work and have entries, until the next change."""
 
     def put(self, upstream: Upstream) -> bool:
@@ -51,9 +51,9 @@
         known = self._members.get(upstream.id)
         ended_until = float("-inf")
         if known is not None and known.upstream.key == upstream.key:
-            ended_until = known.ended_until
+            ended_until = known.excluded_until
         elif known is not None:
-            self._gone.append(known.upstream)
+            self._ended_incarnations.append(known.upstream)
         self._set(Member(upstream, None, ended_until))
         return known is None or known.upstream != upstream or known.drop_at is not None
 
@@ -62,23 +62,23 @@
         known = self._members.get(upstream_id)
         if known is None:
             return False
-        if known.upstream.leaving:
+        if known.upstream.draining:
             self.drop(upstream_id)
         elif known.drop_at is None:
-            self._set(known._replace(drop_at=now + LAPSE_GRACE_S))
+            self._set(known._replace(drop_at=now + EXPIRY_GRACE_S))
         return True
 
-    def ended(self, upstream_key: str, now: float, for_s: float = ENDED_S) -> None:
+    def mark_ended(self, upstream_key: str, now: float, for_s: float = ENDED_EXCLUSION_S) -> None:
         """The start of an upstream was found to be over, whatever its entry says."""
         for member in list(self._members.values()):
             if member.upstream.key == upstream_key:
-                until = max(member.ended_until, now + for_s)
-                self._set(member._replace(ended_until=until))
+                until = max(member.excluded_until, now + for_s)
+                self._set(member._replace(excluded_until=until))
 
     def set_evacuated_halls(self, halls: frozenset[str]) -> None:
         """Replace the evacuated data halls; their upstreams are not used, even as a last resort."""
         self._evacuated_halls = halls
-        self._listed.clear()
+        self._usable_cache.clear()
 
     def is_evacuated(self, upstream: Upstream) -> bool:
         """Whether the upstream is in an evacuated data hall."""
@@ -89,13 +89,13 @@
         known = self._members.pop(upstream_id, None)
         if known is None:
             return False
-        self._gone.append(known.upstream)
-        self._listed.clear()
+        self._ended_incarnations.append(known.upstream)
+        self._usable_cache.clear()
         return True
 
-    def take_gone(self) -> list[Upstream]:
+    def take_ended_incarnations(self) -> list[Upstream]:
         """The starts of upstreams that are over since this was last called."""
-        gone, self._gone = self._gone, []
+        gone, self._ended_incarnations = self._ended_incarnations, []
         return gone
 
     def replace_all(self, listed: list[Upstream], now: float) -> None:
@@ -106,11 +106,11 @@
         for upstream in listed:
             self.put(upstream)
 
-    def sweep(self, now: float) -> list[Upstream]:
+    def drop_expired(self, now: float) -> list[Upstream]:
         """Drop those whose grace has passed; gives them.  Any that were found to have ended and are
         listed still are used again in time."""
-        if any(0.0 < m.ended_until <= now for m in self._members.values()):
-            self._use_again(now)
+        if any(0.0 < m.excluded_until <= now for m in self._members.values()):
+            self._clear_exclusions(now)
         gone = [m.upstream for m in self._members.values() if m.drop_at and m.drop_at <= now]
         for upstream in gone:
             self.drop(upstream.id)
@@ -122,35 +122,35 @@
 
     def usable(self, service: str, now: float) -> list[Upstream]:
         """Upstreams of a service that take new work; those without an entry as a last resort."""
-        listed = self._listed.get(service)
+        listed = self._usable_cache.get(service)
         if listed is None:
-            listed = self._listed[service] = [
-                m.upstream for m in self._working(service, now) if m.drop_at is None
+            listed = self._usable_cache[service] = [
+                m.upstream for m in self._available(service, now) if m.drop_at is None
             ]
         if listed:
             return listed
-        working = self._working(service, now)
+        working = self._available(service, now)
         return [m.upstream for m in working if m.drop_at is not None and now < m.drop_at]
 
-    def _working(self, service: str, now: float) -> list[Member]:
+    def _available(self, service: str, now: float) -> list[Member]:
         return [
             member
             for member in self._members.values()
             if member.upstream.service == service
-            and not member.upstream.leaving
+            and not member.upstream.draining
             and not self.is_evacuated(member.upstream)
-            and member.ended_until <= now
+            and member.excluded_until <= now
         ]
 
-    def _use_again(self, now: float) -> None:
+    def _clear_exclusions(self, now: float) -> None:
         for name, member in self._members.items():
-            if member.ended_until <= now:
-                self._members[name] = member._replace(ended_until=float("-inf"))
-        self._listed.clear()
+            if member.excluded_until <= now:
+                self._members[name] = member._replace(excluded_until=float("-inf"))
+        self._usable_cache.clear()
 
     def _set(self, member: Member) -> None:
         self._members[member.upstream.id] = member
-        self._listed.clear()
+        self._usable_cache.clear()
 
     def __contains__(self, upstream_id: str) -> bool:
         return upstream_id in self._members
--- a/ramppost/gateway/model.py
+++ b/ramppost/gateway/model.py
@@ -9,7 +9,7 @@
 
 from typing import Literal, NamedTuple
 
-Repeat = Literal["any", "never"]
+RetryMode = Literal["any", "never"]
 """Whether a request may be run again after its first run may have begun."""
 
 RolloutState = Literal["ordered", "completed", "rolled_back"]
@@ -29,7 +29,7 @@
     host: str
     prefix: str
     streams: bool
-    repeat: Repeat
+    retry_mode: RetryMode
     resumable: bool
     timeout_s: float
     objective_s: float
@@ -108,8 +108,8 @@
     hall: str
     version: str
     slots: int
-    leaving: bool
-    born: int = 0
+    draining: bool
+    started_ms: int = 0
 
     @property
     def key(self) -> str:
@@ -118,7 +118,7 @@
         >>> Upstream("i-1", "10.0.0.1:80", "lm", "bole", "v1", 8, False, 7).key
         'i-1@7'
         """
-        return f"{self.id}@{self.born}" if self.born else self.id
+        return f"{self.id}@{self.started_ms}" if self.started_ms else self.id
 
 
 class RolloutOrder(NamedTuple):
--- a/ramppost/gateway/operators.py
+++ b/ramppost/gateway/operators.py
@@ -14,7 +14,7 @@
 
 from ramppost import ids
 from ramppost.errors import Refusal, error_body, refusal
-from ramppost.gateway.copies import COPY_PATH, copies
+from ramppost.gateway.copies import COPY_PATH, copy_handler
 from ramppost.gateway.feed import FEED_PATH, feed_handler
 from ramppost.gateway.policies import POLICY_KIND, POLICY_NAME
 from ramppost.gateway.state import Gateway
@@ -64,7 +64,7 @@
 def internal_handler(gw: Gateway) -> Handler:
     """The handler of requests from other gateways and from operators."""
     serve_feed = feed_handler(gw)
-    serve_copy = copies(gw)
+    serve_copy = copy_handler(gw)
 
     async def handle(req: Request, reply: Reply) -> None:
         if req.path == FEED_PATH:
@@ -166,7 +166,7 @@
         if isinstance(stored, Missing) or stored.spec.get("plan_id") != plan["plan_id"]:
             return _stale_plan_refusal(plan, stored)
         written = stored
-    gw.policies.seen(written)
+    gw.policies.update(written)
     logger.info("plan confirmed", plan=plan["plan_id"], revision=written.revision)
     return encode({"plan_id": plan["plan_id"], "revision": written.revision})
 
--- a/ramppost/gateway/peers.py
+++ b/ramppost/gateway/peers.py
@@ -40,11 +40,11 @@
 
 def apply_gateway_entry(gw: Gateway, obj: StoredObject) -> None:
     """Apply a gateway's entry."""
-    entry = gw.unreadable.decoded(GATEWAY_KIND, obj, GatewayEntry)
+    entry = gw.unreadable.decode_spec(GATEWAY_KIND, obj, GatewayEntry)
     if entry is None:
         return
     if not is_address(entry["addr"]):
-        gw.unreadable.note(GATEWAY_KIND, obj, f"invalid address: {entry['addr']!r}")
+        gw.unreadable.log_once(GATEWAY_KIND, obj, f"invalid address: {entry['addr']!r}")
         return
     if gw.peers.put(obj.name, entry["addr"], entry["hall"], entry.get("link_mbps", 0.0)):
         logger.info("gateway known", peer=obj.name, addr=entry["addr"])
--- a/ramppost/gateway/pick.py
+++ b/ramppost/gateway/pick.py
@@ -9,7 +9,7 @@
 from typing import Final, NamedTuple, TypeGuard
 
 from ramppost import clock
-from ramppost.gateway.backlogs import NOTHING_KNOWN, Question, Told
+from ramppost.gateway.backlogs import EMPTY_ESTIMATE, BacklogEstimate, BacklogQuery
 from ramppost.gateway.job import BacklogSnapshot, Job
 from ramppost.gateway.model import Prompt, Service, Upstream
 from ramppost.gateway.pools import Candidates
@@ -106,12 +106,14 @@
     prompt = job.req.prompt
     if prompt is None or len(suitable) <= MAX_QUERIED_ENGINES:
         return suitable
-    listed = gw.pools.of(service_name, suitable)
+    listed = gw.pools.candidates(service_name, suitable)
     query = _backlog_query(gw, job, model, prompt)
     work = PrefillWork(model, prompt.parts, prompt.tokens_in)
     context = _placement_context(gw, listed, work)
     views = [
-        _engine_view(gw, listed.by_key[key], gw.backlogs.known(key, query, now), prompt, now)
+        _engine_view(
+            gw, listed.by_key[key], gw.backlogs.local_estimate(key, query, now), prompt, now
+        )
         for key in select_candidates(listed.pool, context.hall, context.home, gw.rng)
     ]
     best = [
@@ -166,9 +168,11 @@
     listed = gw.members.usable(service_name, now)
     workspace_regions = job.workspace.home_regions if job.workspace is not None else ()
     usable = gw.regions.filter_upstreams(listed, job.route.home_regions, workspace_regions)
-    side = gw.rollouts.side(service_name, usable, job.req.attempt_id, job.req.session, now)
+    side = gw.rollouts.eligible_upstreams(
+        service_name, usable, job.req.attempt_id, job.req.session, now
+    )
     for avoided_versions in (job.failed_versions, set()):
-        for group in (side.preferred, side.others):
+        for group in (side.preferred, side.fallback):
             untried = _untried(group, job.tried_upstreams, avoided_versions)
             if untried:
                 return untried
@@ -200,7 +204,7 @@
     best_key = rank_plain_upstreams(_plain_views(gw, suitable, now), gw.cfg["hall"], gw.rng)[0]
     best = next(upstream for upstream in suitable if upstream.key == best_key)
     placement = Placement(best_key, DEFAULT_PLAIN_LATENCY_S, 0.0)
-    return _selection(gw, service, best, len(suitable), placement, NOTHING_KNOWN, 0, now)
+    return _selection(gw, service, best, len(suitable), placement, EMPTY_ESTIMATE, 0, now)
 
 
 def prompt_urgency(gw: Gateway, job: Job, prefill_s: float) -> int:
@@ -216,9 +220,9 @@
     return len(job.req.body) + TYPICAL_HEAD_BYTES + events * TYPICAL_EVENT_BYTES
 
 
-def _backlog_query(gw: Gateway, job: Job, model: str, prompt: Prompt) -> Question:
+def _backlog_query(gw: Gateway, job: Job, model: str, prompt: Prompt) -> BacklogQuery:
     prefill_s = gw.prefill_rates.rate_s(model) * prompt.tokens_in
-    return Question(prompt_urgency(gw, job, prefill_s), model, prompt.part_names)
+    return BacklogQuery(prompt_urgency(gw, job, prefill_s), model, prompt.part_names)
 
 
 def _best_engine(
@@ -231,14 +235,14 @@
     now: float,
 ) -> Selection:
     work = PrefillWork(model, prompt.parts, prompt.tokens_in, _transfer_bytes(job, service, prompt))
-    listed = gw.pools.of(service.name, suitable)
+    listed = gw.pools.candidates(service.name, suitable)
     context = _placement_context(gw, listed, work)
     backlogs = _candidate_backlogs(
         gw, job, listed, context, _backlog_query(gw, job, model, prompt), now
     )
     engines = [_engine_view(gw, listed.by_key[k], backlogs[k], prompt, now) for k in backlogs]
     best = rank_engines(engines, work, gw.prefill_rates, context, now, gw.rng)[0]
-    cached_tokens = leading_tokens(prompt.parts, backlogs[best.id].kept)
+    cached_tokens = leading_tokens(prompt.parts, backlogs[best.id].cached_parts)
     return _selection(
         gw,
         service,
@@ -256,9 +260,9 @@
     job: Job,
     listed: Candidates,
     context: PlacementContext,
-    query: Question,
+    query: BacklogQuery,
     now: float,
-) -> dict[str, Told]:
+) -> dict[str, BacklogEstimate]:
     """Backlogs of candidates from a recent query, or from local knowledge if there was none."""
     snapshot = job.backlog_snapshot
     if _is_recent(snapshot, query.model, now):
@@ -268,7 +272,7 @@
         if queried:
             return queried
     considered = select_candidates(listed.pool, context.hall, context.home, gw.rng)
-    return {key: gw.backlogs.known(key, query, now) for key in considered}
+    return {key: gw.backlogs.local_estimate(key, query, now) for key in considered}
 
 
 def _selection(
@@ -277,16 +281,16 @@
     best: Upstream,
     candidate_count: int,
     placement: Placement,
-    backlog: Told,
+    backlog: BacklogEstimate,
     cached_tokens: int,
     now: float,
 ) -> Selection:
-    report = gw.loads.reported(best.key)
+    report = gw.loads.last_report(best.key)
     return Selection(
         upstream=best,
         service=service,
         candidate_count=candidate_count,
-        own_requests=gw.loads.own(best.key).requests,
+        own_requests=gw.loads.in_flight(best.key).requests,
         reported_running=report.running,
         report_age_s=now - report.at,
         predicted_first_s=placement.first_token_s,
@@ -298,15 +302,15 @@
 
 
 def _engine_view(
-    gw: Gateway, upstream: Upstream, backlog: Told, prompt: Prompt, now: float
+    gw: Gateway, upstream: Upstream, backlog: BacklogEstimate, prompt: Prompt, now: float
 ) -> EngineView:
-    own = gw.loads.own(upstream.key)
-    report = gw.loads.reported(upstream.key)
+    own = gw.loads.in_flight(upstream.key)
+    report = gw.loads.last_report(upstream.key)
     return EngineView(
         id=upstream.key,
         hall=upstream.hall,
         ahead_s=backlog.ahead_s,
-        kept_tokens=leading_tokens(prompt.parts, backlog.kept),
+        kept_tokens=leading_tokens(prompt.parts, backlog.cached_parts),
         others_running=max(0, report.running - (own.requests - own.pending)),
         others_waiting=0 if backlog.complete else max(0, report.waiting - own.pending),
         reported_at=report.at,
@@ -318,7 +322,7 @@
     views = []
     for upstream in upstreams:
         suspicion = gw.suspicion_of(upstream.key)
-        load = gw.loads.own(upstream.key).requests / max(1, upstream.slots)
+        load = gw.loads.in_flight(upstream.key).requests / max(1, upstream.slots)
         view = PlainUpstreamView(
             upstream.key,
             upstream.hall,
--- a/ramppost/gateway/policies.py
+++ b/ramppost/gateway/policies.py
@@ -32,7 +32,7 @@
         self._config: ConfigDoc | None = None
         self._known = PlatformCatalog({}, [])
 
-    def seen(self, obj: StoredObject) -> None:
+    def update(self, obj: StoredObject) -> None:
         """A document is in the store; one that is older or not understood changes nothing."""
         doc = decode(encode(obj.spec), PolicyDoc)
         if isinstance(doc, BadMessage):
@@ -49,7 +49,7 @@
             policies=[policy["name"] for policy in doc["policies"]],
         )
 
-    def learn(self, table: RoutingTable) -> None:
+    def set_table(self, table: RoutingTable) -> None:
         """A configuration of the platform is in force."""
         prices: dict[str, float] = {}
         for service in table.services.values():
@@ -64,7 +64,7 @@
             self._config = to_config(self.doc, max(1, self.revision), self._known)
         return self._config
 
-    def of(self, workspace: str, who: str) -> Policy:
+    def policy_for(self, workspace: str, who: str) -> Policy:
         """The policy of a workspace's session or request."""
         if not self.doc["workspaces"]:
             return DEFAULT_POLICY
--- a/ramppost/gateway/pools.py
+++ b/ramppost/gateway/pools.py
@@ -11,7 +11,7 @@
 from ramppost.gateway.model import Upstream
 from ramppost.policy.placement import EnginePool, build_pool
 
-LISTS_KEPT: Final = 4
+MAX_CACHED_LISTS: Final = 4
 """Lists of a service that are in use at once: all, and both sides of a roll-out."""
 
 
@@ -27,11 +27,11 @@
     """The lists of each service that were asked for last."""
 
     def __init__(self) -> None:
-        self._kept: dict[str, list[Candidates]] = {}
+        self._cache: dict[str, list[Candidates]] = {}
 
-    def of(self, service: str, listed: list[Upstream]) -> Candidates:
+    def candidates(self, service: str, listed: list[Upstream]) -> Candidates:
         """The candidates of a list, which must not be changed afterwards."""
-        kept = self._kept.setdefault(service, [])
+        kept = self._cache.setdefault(service, [])
         for found in kept:
             if found.listed is listed:
                 return found
@@ -39,5 +39,5 @@
         halls = {key: upstream.hall for key, upstream in by_key.items()}
         found = Candidates(listed, by_key, build_pool(halls))
         kept.insert(0, found)
-        del kept[LISTS_KEPT:]
+        del kept[MAX_CACHED_LISTS:]
         return found
--- a/ramppost/gateway/regions.py
+++ b/ramppost/gateway/regions.py
@@ -12,7 +12,7 @@
 
 from ramppost.gateway.model import Upstream
 
-LISTS_KEPT: Final = 16
+MAX_CACHED_LISTS: Final = 16
 """Filtered lists that are cached, over all services and combinations of home regions."""
 
 
@@ -29,7 +29,7 @@
 
     def __init__(self, region_by_hall: Mapping[str, str]) -> None:
         self._region_by_hall = region_by_hall
-        self._kept: list[_Filtered] = []
+        self._cache: list[_Filtered] = []
 
     def filter_upstreams(
         self, listed: list[Upstream], *home_regions: tuple[str, ...]
@@ -42,7 +42,7 @@
         required = tuple(allowed for allowed in home_regions if allowed)
         if not required:
             return listed
-        for kept in self._kept:
+        for kept in self._cache:
             if kept.listed is listed and kept.home_regions == required:
                 return kept.matching
         matching = [
@@ -50,6 +50,6 @@
             for upstream in listed
             if all(self._region_by_hall.get(upstream.hall, "") in allowed for allowed in required)
         ]
-        self._kept.insert(0, _Filtered(listed, required, matching))
-        del self._kept[LISTS_KEPT:]
+        self._cache.insert(0, _Filtered(listed, required, matching))
+        del self._cache[MAX_CACHED_LISTS:]
         return matching
--- a/ramppost/gateway/rollout_duty.py
+++ b/ramppost/gateway/rollout_duty.py
@@ -15,7 +15,7 @@
 from ramppost.gateway.attempt import Running
 from ramppost.gateway.forwarding import Forwarded
 from ramppost.gateway.model import RolloutOrder
-from ramppost.gateway.rollouts import Running as Rollout
+from ramppost.gateway.rollouts import Rollout
 from ramppost.gateway.state import Gateway
 from ramppost.platform import names
 from ramppost.platform.documents import rollout_order, rollout_status
@@ -36,15 +36,15 @@
 from ramppost.policy.routing import hash_fraction
 from ramppost.wire.codec import BadMessage
 
-TICK_S: Final = 0.1
-SPREAD_S: Final = 0.25
+CHECK_INTERVAL_S: Final = 0.1
+WRITE_SPREAD_S: Final = 0.25
 """Relays act within this of each other, and so do the others after them."""
-RETRY_S: Final = 0.3
-HEAR_EARLY: Final = 0.02
+RETRY_DELAY_S: Final = 0.3
+READ_SESSIONS_LEAD: Final = 0.02
 """Part of a roll-out's time by which the sessions of others are read before any moves."""
 PROGRESS_KIND: Final = "rollout-progress"
 SESSIONS_KIND: Final = "rollout-sessions"
-FIRST_MOVES_AT: Final = RAMP_STEPS[1].start
+FIRST_MOVE_AT: Final = RAMP_STEPS[1].start
 
 
 class OldSessions(TypedDict):
@@ -61,13 +61,15 @@
     part: float
 
 
-def judge_answer(gw: Gateway, running: Running, bad: bool, passed: Forwarded | None = None) -> None:
+def evaluate_answer(
+    gw: Gateway, running: Running, bad: bool, passed: Forwarded | None = None
+) -> None:
     """Take an answer in as evidence for or against its version."""
     chosen = running.chosen
     service = chosen.service.name
-    rollout = gw.rollouts.of(service)
+    rollout = gw.rollouts.get(service)
     slow = passed is not None and not bad and _is_slow(gw, running, passed, rollout)
-    reason = gw.rollouts.judge(service, chosen.upstream, bad, slow)
+    reason = gw.rollouts.record_answer(service, chosen.upstream, bad, slow)
     if reason:
         assert rollout is not None
         logger.warning(
@@ -95,59 +97,61 @@
     """End roll-outs that are due, until cancelled."""
     noted: dict[str, int] = {}
     while True:
-        await curio.sleep(TICK_S)
+        await curio.sleep(CHECK_INTERVAL_S)
         for rollout in gw.rollouts.all():
             if rollout.order.state != "ordered":
                 continue
             now = clock.now()
             place = hash_fraction("duty", gw.cfg["name"], rollout.order.service)
-            part = rollout.part(now - gw.peers.write_delay_s(SPREAD_S, place, now))
-            if rollout.withdrawn:
-                await _end(gw, rollout, completed=False)
+            part = rollout.elapsed_fraction(
+                now - gw.peers.write_delay_s(WRITE_SPREAD_S, place, now)
+            )
+            if rollout.withdrawal_reason:
+                await _finish(gw, rollout, completed=False)
             elif part >= COMPLETE_AT:
-                await _end(gw, rollout, completed=True)
+                await _finish(gw, rollout, completed=True)
             else:
                 await _exchange_sessions(gw, rollout, now)
-                await _note_progress(gw, rollout, part, noted)
+                await _save_progress(gw, rollout, part, noted)
 
 
-async def _end(gw: Gateway, rollout: Rollout, completed: bool) -> None:
+async def _finish(gw: Gateway, rollout: Rollout, completed: bool) -> None:
     """Write the status that ends a roll-out, if it has none yet."""
     order = rollout.order
     status = rollout_status(order, completed)
     got = await set_status(gw.store, names.ROLLOUT_KIND, order.service, order.revision, status)
     if isinstance(got, Unavailable):
         logger.warning("roll-out not ended yet: {}", got.reason, service=order.service)
-        await curio.sleep(RETRY_S)
+        await curio.sleep(RETRY_DELAY_S)
         return
     if isinstance(got, Conflict):
-        await _read_back(gw, order)
+        await _refresh(gw, order)
         return
     logger.info(
         "roll-out {}",
         status["state"],
         service=order.service,
         version=order.version,
-        reason=rollout.withdrawn,
+        reason=rollout.withdrawal_reason,
     )
     seen = rollout_order(got)
     if not isinstance(seen, BadMessage):
-        gw.rollouts.seen(seen, clock.now())
+        gw.rollouts.update(seen, clock.now())
 
 
-async def _read_back(gw: Gateway, order: RolloutOrder) -> None:
+async def _refresh(gw: Gateway, order: RolloutOrder) -> None:
     """Another gateway wrote first, or an earlier write of ours was done after all."""
     got = await read(gw.store, names.ROLLOUT_KIND, order.service)
     if isinstance(got, StoredObject):
         seen = rollout_order(got)
         if not isinstance(seen, BadMessage):
-            gw.rollouts.seen(seen, clock.now())
+            gw.rollouts.update(seen, clock.now())
             return
     logger.info("roll-out changed meanwhile", service=order.service, found=type(got).__name__)
     if isinstance(got, Missing):
-        gw.rollouts.removed(order.service)
+        gw.rollouts.remove(order.service)
     else:
-        await curio.sleep(RETRY_S)
+        await curio.sleep(RETRY_DELAY_S)
 
 
 async def _exchange_sessions(gw: Gateway, rollout: Rollout, now: float) -> None:
@@ -155,16 +159,16 @@
 
     A session that goes on at another gateway would else be moved there.
     """
-    part = rollout.part(now)
-    if part >= ANNOUNCE_AT and not rollout.told:
-        rollout.told = True
-        await _tell_sessions(gw, rollout, now)
-    if part >= FIRST_MOVES_AT - HEAR_EARLY and not rollout.heard:
-        rollout.heard = True
-        await _hear_sessions(gw, rollout)
+    part = rollout.elapsed_fraction(now)
+    if part >= ANNOUNCE_AT and not rollout.sessions_published:
+        rollout.sessions_published = True
+        await _publish_sessions(gw, rollout, now)
+    if part >= FIRST_MOVE_AT - READ_SESSIONS_LEAD and not rollout.sessions_read:
+        rollout.sessions_read = True
+        await _read_sessions(gw, rollout)
 
 
-async def _tell_sessions(gw: Gateway, rollout: Rollout, now: float) -> None:
+async def _publish_sessions(gw: Gateway, rollout: Rollout, now: float) -> None:
     order = rollout.order
     sessions = gw.rollouts.pins.sessions_to_announce(order.service, order.version, now)
     if not sessions:
@@ -180,28 +184,30 @@
     )
 
 
-async def _hear_sessions(gw: Gateway, rollout: Rollout) -> None:
+async def _read_sessions(gw: Gateway, rollout: Rollout) -> None:
     order = rollout.order
     got = await list_kind(gw.store, SESSIONS_KIND)
     if isinstance(got, Unavailable):
         logger.warning("sessions of other gateways not read: {}", got.reason)
         return
     for obj in got.objects:
-        told = gw.unreadable.decoded(SESSIONS_KIND, obj, OldSessions)
+        told = gw.unreadable.decode_spec(SESSIONS_KIND, obj, OldSessions)
         ours = obj.name.startswith(f"{order.service}.")
         if told is not None and ours and told["version"] == order.version:
-            rollout.held.update(told["sessions"])
-    logger.info("sessions under way heard", service=order.service, count=len(rollout.held))
+            rollout.old_version_sessions.update(told["sessions"])
+    logger.info(
+        "sessions under way heard", service=order.service, count=len(rollout.old_version_sessions)
+    )
 
 
-async def _note_progress(gw: Gateway, rollout: Rollout, part: float, noted: dict[str, int]) -> None:
+async def _save_progress(gw: Gateway, rollout: Rollout, part: float, noted: dict[str, int]) -> None:
     """Keep in the store which step a roll-out has reached."""
     step = sum(part >= step.start for step in RAMP_STEPS)
     key = f"{rollout.order.service}/{rollout.order.version}"
     if step <= noted.get(key, 0):
         return
     noted[key] = step
-    if gw.rollouts.known_part(rollout.order) < RAMP_STEPS[step - 1].start:
+    if gw.rollouts.reported_fraction(rollout.order) < RAMP_STEPS[step - 1].start:
         await write_progress(gw, rollout, part)
 
 
@@ -212,18 +218,18 @@
     found = await read(gw.store, PROGRESS_KIND, order.service)
     if isinstance(found, Missing):
         await create(gw.store, PROGRESS_KIND, order.service, spec)
-    elif isinstance(found, StoredObject) and not _is_further(gw, found, spec):
+    elif isinstance(found, StoredObject) and not _is_ahead(gw, found, spec):
         await replace(gw.store, PROGRESS_KIND, order.service, found.revision, spec)
 
 
-def progress_seen(gw: Gateway, obj: StoredObject) -> None:
+def progress_changed(gw: Gateway, obj: StoredObject) -> None:
     """Be no further back than the store says that a roll-out is."""
-    progress = gw.unreadable.decoded(PROGRESS_KIND, obj, Progress)
+    progress = gw.unreadable.decode_spec(PROGRESS_KIND, obj, Progress)
     if progress is None:
         return
-    gw.rollouts.progress_seen(obj.name, progress["version"], progress["part"], clock.now())
+    gw.rollouts.update_progress(obj.name, progress["version"], progress["part"], clock.now())
 
 
-def _is_further(gw: Gateway, found: StoredObject, spec: Progress) -> bool:
-    held = gw.unreadable.decoded(PROGRESS_KIND, found, Progress)
+def _is_ahead(gw: Gateway, found: StoredObject, spec: Progress) -> bool:
+    held = gw.unreadable.decode_spec(PROGRESS_KIND, found, Progress)
     return held is not None and held["version"] == spec["version"] and held["part"] >= spec["part"]
--- a/ramppost/gateway/rollouts.py
+++ b/ramppost/gateway/rollouts.py
@@ -14,40 +14,40 @@
 from ramppost.policy.ramp import UNPIN_AT, SessionPins, uses_new_version
 
 
-class Running:
+class Rollout:
     """A roll-out under way."""
 
     def __init__(self, order: RolloutOrder, seen_at: float) -> None:
         self.order = order
-        self.began_at = seen_at
+        self.started_at = seen_at
         self.stable = AnswerTally()
         self.trial = AnswerTally()
         self.trial_upstreams = 1
-        self._sides: tuple[list[Upstream], Sides] | None = None
-        self.held: set[str] = set()
+        self._split: tuple[list[Upstream], VersionSplit] | None = None
+        self.old_version_sessions: set[str] = set()
         """Sessions that ran on the former version as the roll-out began, at any gateway."""
-        self.told = False
+        self.sessions_published = False
         """Whether this gateway has told those of its own."""
-        self.heard = False
+        self.sessions_read = False
         """Whether it has read those of others."""
-        self.withdrawn = ""
+        self.withdrawal_reason = ""
         """Why this gateway holds the version to be bad, empty while it does not."""
 
-    def part(self, now: float) -> float:
+    def elapsed_fraction(self, now: float) -> float:
         """Part of its time that has passed."""
-        return (now - self.began_at) / max(0.001, self.order.duration_s)
+        return (now - self.started_at) / max(0.001, self.order.duration_s)
 
-    def sides(self, usable: list[Upstream]) -> Sides:
+    def split(self, usable: list[Upstream]) -> VersionSplit:
         """Upstreams by version; the same lists for the same list."""
-        if self._sides is None or self._sides[0] is not usable:
+        if self._split is None or self._split[0] is not usable:
             version = self.order.version
             new = [upstream for upstream in usable if upstream.version == version]
             old = [upstream for upstream in usable if upstream.version != version]
-            self._sides = (usable, Sides(new, old))
-        return self._sides[1]
+            self._split = (usable, VersionSplit(new, old))
+        return self._split[1]
 
 
-class Sides(NamedTuple):
+class VersionSplit(NamedTuple):
     """The upstreams of the new version, and those of others."""
 
     new: list[Upstream]
@@ -58,15 +58,15 @@
     """The part of its time that a version's roll-out had reached somewhere, at a time."""
 
     version: str
-    part: float
+    fraction: float
     at: float
 
 
-class Side(NamedTuple):
+class EligibleUpstreams(NamedTuple):
     """Which upstreams may take a request, those to be preferred first."""
 
     preferred: list[Upstream]
-    others: list[Upstream]
+    fallback: list[Upstream]
 
 
 class Rollouts:
@@ -74,77 +74,79 @@
 
     def __init__(self, session_s: float) -> None:
         self.pins = SessionPins(session_s)
-        self._by_service: dict[str, Running] = {}
+        self._by_service: dict[str, Rollout] = {}
         self._progress: dict[str, Progress] = {}
 
-    def seen(self, order: RolloutOrder, now: float) -> bool:
+    def update(self, order: RolloutOrder, now: float) -> bool:
         """An order or its state; true if it is new."""
         known = self._by_service.get(order.service)
         if known is not None and known.order.version == order.version:
             if order.revision >= known.order.revision:
                 known.order = order
             return False
-        self._by_service[order.service] = Running(order, now)
-        self._catch_up(order.service, now)
+        self._by_service[order.service] = Rollout(order, now)
+        self._apply_progress(order.service, now)
         return True
 
-    def removed(self, service: str) -> None:
+    def remove(self, service: str) -> None:
         """The order is gone."""
         self._by_service.pop(service, None)
 
-    def of(self, service: str) -> Running | None:
+    def get(self, service: str) -> Rollout | None:
         """The newest order of a service."""
         return self._by_service.get(service)
 
-    def all(self) -> list[Running]:
+    def all(self) -> list[Rollout]:
         """Every order known."""
         return list(self._by_service.values())
 
-    def progress_seen(self, service: str, version: str, part: float, now: float) -> None:
+    def update_progress(self, service: str, version: str, part: float, now: float) -> None:
         """Some gateway had come this far with a version; its order may not be known yet."""
         self._progress[service] = Progress(version, part, now)
-        self._catch_up(service, now)
+        self._apply_progress(service, now)
 
-    def known_part(self, order: RolloutOrder) -> float:
+    def reported_fraction(self, order: RolloutOrder) -> float:
         """How far some gateway has told to have come with an order; -1 where none has."""
         told = self._progress.get(order.service)
-        return told.part if told is not None and told.version == order.version else -1.0
+        return told.fraction if told is not None and told.version == order.version else -1.0
 
-    def _catch_up(self, service: str, now: float) -> None:
+    def _apply_progress(self, service: str, now: float) -> None:
         """Be no further back than what was told."""
         found, told = self._by_service.get(service), self._progress.get(service)
         if found is None or told is None or told.version != found.order.version:
             return
-        began_at = told.at - told.part * found.order.duration_s
-        found.began_at = min(found.began_at, began_at)
+        began_at = told.at - told.fraction * found.order.duration_s
+        found.started_at = min(found.started_at, began_at)
 
-    def side(
+    def eligible_upstreams(
         self, service: str, usable: list[Upstream], who: str, session: str, now: float
-    ) -> Side:
+    ) -> EligibleUpstreams:
         """The upstreams that may take a request of a session."""
         found = self._by_service.get(service)
         if found is None:
-            return Side(usable, [])
+            return EligibleUpstreams(usable, [])
         version = found.order.version
-        new, old = found.sides(usable)
+        new, old = found.split(usable)
         found.trial_upstreams = max(1, len(new))
-        if found.withdrawn or found.order.state == "rolled_back":
-            return Side(old, [])
+        if found.withdrawal_reason or found.order.state == "rolled_back":
+            return EligibleUpstreams(old, [])
         if found.order.state == "completed":
-            return Side(new, []) if new else Side(old, [])
+            return EligibleUpstreams(new, []) if new else EligibleUpstreams(old, [])
         pinned = self.pins.pinned_version(service, session, now) if session else ""
-        part = found.part(now)
-        held = part < UNPIN_AT and session in found.held and pinned != version
+        part = found.elapsed_fraction(now)
+        held = part < UNPIN_AT and session in found.old_version_sessions and pinned != version
         if new and not held and uses_new_version(service, version, session or who, part, pinned):
-            return Side(new, old)
-        return Side(old, new if part >= UNPIN_AT else [])
+            return EligibleUpstreams(new, old)
+        return EligibleUpstreams(old, new if part >= UNPIN_AT else [])
 
-    def judge(self, service: str, upstream: Upstream, bad: bool, slow: bool) -> str:
+    def record_answer(self, service: str, upstream: Upstream, bad: bool, slow: bool) -> str:
         """Take in an answer; gives why the version has to be withdrawn, if it newly has to."""
         found = self._by_service.get(service)
-        if found is None or found.order.state != "ordered" or found.withdrawn:
+        if found is None or found.order.state != "ordered" or found.withdrawal_reason:
             return ""
         trial = upstream.version == found.order.version
         (found.trial if trial else found.stable).add(upstream.key, bad, slow)
-        found.withdrawn = withdrawal_reason(found.stable, found.trial, found.trial_upstreams)
-        return found.withdrawn
+        found.withdrawal_reason = withdrawal_reason(
+            found.stable, found.trial, found.trial_upstreams
+        )
+        return found.withdrawal_reason
--- a/ramppost/gateway/serve.py
+++ b/ramppost/gateway/serve.py
@@ -17,7 +17,7 @@
 from ramppost.gateway.admit import admit, stale_refusal
 from ramppost.gateway.aftermath import handle_broken_response, handle_unframed_end
 from ramppost.gateway.attempt import Refused, Running, attempt, release
-from ramppost.gateway.counts import Ended
+from ramppost.gateway.counts import EndedRequest
 from ramppost.gateway.escalation import choose_larger_model, plan_models
 from ramppost.gateway.forwarding import Forwarded, forward_response, forward_stream
 from ramppost.gateway.inbound import JSON_TYPE, Reply
@@ -25,7 +25,7 @@
 from ramppost.gateway.links import Broken, NotSent
 from ramppost.gateway.model import CallerRequest
 from ramppost.gateway.pick import pick, query_backlogs, select_service, warmup_wait_s
-from ramppost.gateway.rollout_duty import judge_answer
+from ramppost.gateway.rollout_duty import evaluate_answer
 from ramppost.gateway.state import Gateway
 from ramppost.platform.headers import Headers, refusal_headers
 from ramppost.policy.fatal import ObservedRun, evidence_level
@@ -52,7 +52,7 @@
         await _send_refusal(gw, req, reply, admitted, read_at)
         return
     job = Job(req, admitted, read_at)
-    if admitted.workspace is not None and not gw.freshness.holds(read_at):
+    if admitted.workspace is not None and not gw.freshness.is_fresh(read_at):
         gw.metrics.count("ramppost_requests_on_unconfirmed_keys_total")
     failure: Refusal | None = None
     try:
@@ -63,7 +63,7 @@
     except (Gone, curio.CancelledError):
         _record_end(gw, job, "caller left", reply.status, read_at)
         raise
-    gw.counts.ended(_ended_record(job, failure is None, clock.now()))
+    gw.counts.record(_ended_record(job, failure is None, clock.now()))
     if failure is None:
         _record_end(gw, job, "served", reply.status, read_at)
     elif reply.started:
@@ -96,7 +96,7 @@
         broken = await _forward(gw, job, result, reply)
         if broken is None:
             return None
-        if job.route.repeat == "never" or (reply.started and not job.route.resumable):
+        if job.route.retry_mode == "never" or (reply.started and not job.route.resumable):
             return refusal("outcome_unknown", broken.reason)
 
 
@@ -149,14 +149,14 @@
         elif isinstance(result, NotSent):
             connect_failures += 1
             if result.refused:
-                gw.members.ended(chosen.upstream.key, clock.now(), REFUSED_EXCLUSION_S)
+                gw.members.mark_ended(chosen.upstream.key, clock.now(), REFUSED_EXCLUSION_S)
             last_refusal = refusal("no_upstream", result.reason, OVERLOAD_RETRY_S)
             if connect_failures >= MAX_CONNECT_FAILURES:
                 return _final_refusal(job, last_refusal)
         else:
             await handle_broken_response(gw, job, chosen.upstream, result, evidence_level(None, 0))
             last_refusal = refusal("outcome_unknown", result.reason)
-            if job.route.repeat == "never":
+            if job.route.retry_mode == "never":
                 return last_refusal
 
 
@@ -187,10 +187,10 @@
         return False
     if running.head.status < 400:
         return False
-    judge_answer(gw, running, bad=running.head.status >= 500)
+    evaluate_answer(gw, running, bad=running.head.status >= 500)
     if reply.started:
         return True
-    if job.route.repeat == "never" or job.counted_attempts >= job.route.attempts:
+    if job.route.retry_mode == "never" or job.counted_attempts >= job.route.attempts:
         return False
     now = clock.now()
     has_budget = gw.retry_budget_of(service).available(now) >= 1
@@ -244,11 +244,11 @@
         await handle_broken_response(gw, job, running.chosen.upstream, result, evidence)
         return result
     if result.framed:
-        gw.fatal.answered(job.fingerprint, running.head.status)
+        gw.fatal.record_answer(job.fingerprint, running.head.status)
     else:
         evidence = evidence_level(run.lived_s, result.events)
         await curio.spawn(handle_unframed_end, gw, job, running, evidence, daemon=True)
-    judge_answer(gw, running, bad=running.head.status >= 500, passed=result)
+    evaluate_answer(gw, running, bad=running.head.status >= 500, passed=result)
     return None
 
 
@@ -296,9 +296,9 @@
     await reply.send(refused.status, headers, error_body(refused))
 
 
-def _ended_record(job: Job, served: bool, now: float) -> Ended:
+def _ended_record(job: Job, served: bool, now: float) -> EndedRequest:
     """The values of a request that the operators' reports count."""
-    return Ended(
+    return EndedRequest(
         workspace=job.workspace.name if job.workspace is not None else "",
         route=job.route.name,
         served=served,
--- a/ramppost/gateway/state.py
+++ b/ramppost/gateway/state.py
@@ -23,7 +23,7 @@
 from ramppost.gateway.pools import Pools
 from ramppost.gateway.regions import Regions
 from ramppost.gateway.rollouts import Rollouts
-from ramppost.gateway.unreadable import Unreadable
+from ramppost.gateway.unreadable import UnreadableEntries
 from ramppost.gateway.warmup import WarmUps
 from ramppost.platform import names
 from ramppost.platform.documents import DEFAULT_LIMITS
@@ -75,7 +75,7 @@
         """Evacuated data halls and when this gateway learned of it (steady clock)."""
         self.evacuations_known = cfg["timing"].get("evacuate_ms", 0) <= 0
         """Whether evacuations have been listed; always true if the settings disable them."""
-        self.unreadable = Unreadable()
+        self.unreadable = UnreadableEntries()
         self.regions = Regions(cfg.get("regions", {}))
         self.pools = Pools()
         self.freshness = Freshness(_withdrawal_bound_s(cfg), _serves_unconfirmed(cfg))
@@ -144,7 +144,7 @@
         """Apply changed settings; the listen addresses stay the same until the next start."""
         self.cfg = cfg
         self.store.addr = cfg["store"]["addr"]
-        self.freshness.bound_s = _withdrawal_bound_s(cfg)
+        self.freshness.max_age_s = _withdrawal_bound_s(cfg)
         self.freshness.serve_unconfirmed = _serves_unconfirmed(cfg)
         self.rollouts.pins.session_s = cfg["timing"]["session_s"]
         self.retry_budgets.clear()
--- a/ramppost/gateway/warmup.py
+++ b/ramppost/gateway/warmup.py
@@ -28,7 +28,7 @@
         self._shares_key = (-1, 0.0)
         """Version of the gateway list and limit for which `_shares` was computed."""
 
-    def note_entry(self, upstream: Upstream, left_s: float, now: float) -> None:
+    def record_entry(self, upstream: Upstream, left_s: float, now: float) -> None:
         """Record the remaining warm-up time from an upstream's entry."""
         if left_s <= 0:
             return
@@ -63,7 +63,7 @@
         free = [upstream for upstream in upstreams if self.wait_s(service, upstream, now) <= 0]
         return upstreams if len(free) == len(upstreams) else free
 
-    def sent(self, service: Service, upstream: Upstream, now: float) -> None:
+    def record_sent(self, service: Service, upstream: Upstream, now: float) -> None:
         """Count a request, including before the upstream is known to be warming up."""
         if service.warmup_per_s > 0:
             self._windows.setdefault(upstream.key, SentWindow()).sent(now)
--- a/ramppost/gateway/watchers.py
+++ b/ramppost/gateway/watchers.py
@@ -17,7 +17,7 @@
 from ramppost.gateway.follow import FollowConfig, Handlers, KindReplica, follow
 from ramppost.gateway.model import RoutingTable, Upstream
 from ramppost.gateway.policies import POLICY_KIND
-from ramppost.gateway.rollout_duty import PROGRESS_KIND, progress_seen
+from ramppost.gateway.rollout_duty import PROGRESS_KIND, progress_changed
 from ramppost.gateway.state import Gateway
 from ramppost.platform import names
 from ramppost.platform.documents import rollout_order, routing_table, upstream, warmup_left_s
@@ -79,7 +79,7 @@
 def _config_watch_timeout_s(gw: Gateway) -> float:
     apply_s = gw.cfg["timing"]["config_apply_ms"] / 1000
     return min(
-        CONFIG_WATCH_BOUND_RATIO * gw.freshness.bound_s,
+        CONFIG_WATCH_BOUND_RATIO * gw.freshness.max_age_s,
         CONFIG_WATCH_APPLY_RATIO * apply_s,
         _upstream_watch_timeout_s(gw),
     )
@@ -112,7 +112,7 @@
     )
     progress = Handlers(
         lambda snapshot: _apply_progress_snapshot(gw, snapshot),
-        lambda change: progress_seen(gw, change.obj),
+        lambda change: progress_changed(gw, change.obj),
         _ignore_confirmation,
     )
     policies = Handlers(
@@ -195,7 +195,7 @@
         return
     _log_config(gw.table, table)
     gw.table = table
-    gw.policies.learn(table)
+    gw.policies.set_table(table)
     gw.metrics.gauges["ramppost_config_version"] = table.version
 
 
@@ -230,16 +230,16 @@
     """Decode an upstream's entry; an upstream whose entry is invalid is no longer used."""
     decoded = upstream(obj)
     if isinstance(decoded, BadMessage):
-        gw.unreadable.note(names.UPSTREAM_KIND, obj, decoded.reason)
+        gw.unreadable.log_once(names.UPSTREAM_KIND, obj, decoded.reason)
         gw.members.drop(obj.name)
         return None
-    gw.warmups.note_entry(decoded, warmup_left_s(obj), clock.now())
+    gw.warmups.record_entry(decoded, warmup_left_s(obj), clock.now())
     return decoded
 
 
 def _forget_removed(gw: Gateway) -> None:
     """Drop the state kept for upstreams that have left or restarted."""
-    for removed in gw.members.take_gone():
+    for removed in gw.members.take_ended_incarnations():
         gw.forget(removed.key)
 
 
@@ -254,14 +254,14 @@
     if decoded is not None and gw.members.put(decoded):
         logger.info(
             "upstream {}",
-            "leaving" if decoded.leaving else "there",
+            "leaving" if decoded.draining else "there",
             upstream=decoded.id,
             service=decoded.service,
             version=decoded.version,
             addr=decoded.addr,
-            born=decoded.born,
+            born=decoded.started_ms,
         )
-    if decoded is not None and decoded.leaving:
+    if decoded is not None and decoded.draining:
         gw.links.drop_upstream(decoded.key)
     _forget_removed(gw)
 
@@ -270,41 +270,41 @@
     services = {obj.name for obj in snapshot.objects}
     for running in gw.rollouts.all():
         if running.order.service not in services:
-            gw.rollouts.removed(running.order.service)
+            gw.rollouts.remove(running.order.service)
     for obj in snapshot.objects:
         _apply_rollout(gw, obj)
 
 
 def _apply_rollout_change(gw: Gateway, change: Change) -> None:
     if change.removed:
-        gw.rollouts.removed(change.obj.name)
+        gw.rollouts.remove(change.obj.name)
     else:
         _apply_rollout(gw, change.obj)
 
 
 def _apply_progress_snapshot(gw: Gateway, snapshot: Snapshot) -> None:
     for obj in snapshot.objects:
-        progress_seen(gw, obj)
+        progress_changed(gw, obj)
 
 
 def _apply_policy_snapshot(gw: Gateway, snapshot: Snapshot) -> None:
     for obj in snapshot.objects:
-        gw.policies.seen(obj)
+        gw.policies.update(obj)
 
 
 def _apply_policy_change(gw: Gateway, change: Change) -> None:
     if change.removed:
         logger.warning("policies were removed from the store; the last ones stay in force")
     else:
-        gw.policies.seen(change.obj)
+        gw.policies.update(change.obj)
 
 
 def _apply_rollout(gw: Gateway, obj: StoredObject) -> None:
     order = rollout_order(obj)
     if isinstance(order, BadMessage):
-        gw.unreadable.note(names.ROLLOUT_KIND, obj, order.reason)
+        gw.unreadable.log_once(names.ROLLOUT_KIND, obj, order.reason)
         return
-    gw.rollouts.seen(order, clock.now())
+    gw.rollouts.update(order, clock.now())
     logger.info(
         "roll-out {}",
         order.state,
@@ -320,7 +320,7 @@
     while True:
         await curio.sleep(SWEEP_INTERVAL_S)
         now = clock.now()
-        for dropped in gw.members.sweep(now):
+        for dropped in gw.members.drop_expired(now):
             logger.info("upstream dropped: its entry did not come back", upstream=dropped.id)
         _forget_removed(gw)
         gw.links.close_expired(now)
--- a/ramppost/platform/documents.py
+++ b/ramppost/platform/documents.py
@@ -218,7 +218,7 @@
         host=item["host"],
         prefix=item["path_prefix"],
         streams=streams,
-        repeat="any" if item["kind"] == MAY_REPEAT or resumable else "never",
+        retry_mode="any" if item["kind"] == MAY_REPEAT or resumable else "never",
         resumable=resumable,
         timeout_s=item["timeout_ms"] / 1000,
         objective_s=objective_s,
--- a/tests/test_choice_size.py
+++ b/tests/test_choice_size.py
@@ -28,7 +28,7 @@
 def counted(engines: int, monkeypatch: pytest.MonkeyPatch) -> Counter[str]:
     """Looks at backlogs, and hashes, that the second hundred of requests cost."""
     gw, rng, seen = fleet(engines, 20), random.Random(2), Counter[str]()
-    known, hash_fraction = gw.backlogs.known, placement.hash_fraction
+    known, hash_fraction = gw.backlogs.local_estimate, placement.hash_fraction
 
     def note_known(*args: Any) -> Any:
         seen["known"] += 1
@@ -38,7 +38,7 @@
         seen["unit"] += 1
         return hash_fraction(*parts)
 
-    monkeypatch.setattr(gw.backlogs, "known", note_known)
+    monkeypatch.setattr(gw.backlogs, "local_estimate", note_known)
     monkeypatch.setattr(placement, "hash_fraction", note_hash_fraction)
     for number in range(200):
         if number == 100:
@@ -94,5 +94,5 @@
     near = [up for up in gw.members.usable("lm", clock.now()) if up.hall == gw.cfg["hall"]]
     assert chosen(gw, 2000) == {up.id for up in near}
     for up in near:
-        gw.backlogs.sent(up, "k", PendingPrompt(clock.now(), 9.0, 0, MODEL, ()))
+        gw.backlogs.record_sent(up, "k", PendingPrompt(clock.now(), 9.0, 0, MODEL, ()))
     assert len(chosen(gw, 2000) - {up.id for up in near}) > 100
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -24,8 +24,8 @@
 from ramppost.gateway.attempt import Refused, _record_outcome
 from ramppost.gateway.peers import apply_gateway_entry
 from ramppost.gateway.pick import pick
-from ramppost.gateway.rollout_duty import _hear_sessions, progress_seen, write_progress
-from ramppost.gateway.rollouts import Running
+from ramppost.gateway.rollout_duty import _read_sessions, progress_changed, write_progress
+from ramppost.gateway.rollouts import Rollout
 from ramppost.gateway.state import Gateway
 from ramppost.gateway.watchers import (
     _apply_rollout,
@@ -208,13 +208,13 @@
     apply_upstream_snapshot(gw, Snapshot([entry(born=1000)], 1))
     before = gw.members.usable("lm", clock.now())[0]
     gw.suspicion_of(before.key).record_outcome(True, clock.now())
-    gw.loads.report(before.key, 20, 7, clock.now())
+    gw.loads.record_report(before.key, 20, 7, clock.now())
     gw.links.last_received_at[before.key] = clock.now()
     apply_upstream_change(gw, Change(entry(revision=2, born=2000), False))
     after = gw.members.usable("lm", clock.now())[0]
     assert (after.id, after.key != before.key) == (before.id, True)
     assert gw.suspicion_of(after.key).failure_rate(clock.now()) == 0.0
-    assert gw.loads.reported(after.key).waiting == 0
+    assert gw.loads.last_report(after.key).waiting == 0
     assert before.key not in gw.suspicions
     assert before.key not in gw.links.last_received_at
 
@@ -232,10 +232,10 @@
 def test_the_same_news_twice_change_nothing(gw: Gateway) -> None:
     apply_upstream_snapshot(gw, Snapshot([entry(born=1000)], 1))
     before = gw.members.usable("lm", clock.now())[0]
-    gw.loads.report(before.key, 20, 7, clock.now())
+    gw.loads.record_report(before.key, 20, 7, clock.now())
     apply_upstream_change(gw, Change(entry(born=1000), False))
     apply_upstream_snapshot(gw, Snapshot([entry(born=1000)], 1))
-    assert gw.loads.reported(before.key).waiting == 7
+    assert gw.loads.last_report(before.key).waiting == 7
 
 
 # --- what gateways write for each other
@@ -262,12 +262,12 @@
     curio.run(run)
 
 
-def running() -> Running:
+def running() -> Rollout:
     order = rollout_order(
         StoredObject("lm", 1, {"service": "lm", "target_version": "v2", "duration_s": 10.0}, None)
     )
     assert not isinstance(order, BadMessage)
-    return Running(order, clock.now())
+    return Rollout(order, clock.now())
 
 
 @pytest.mark.parametrize("spec", [b"null", b'"x"', b"{}", b'{"version":"v2"}', b'{"version":7}'])
@@ -276,8 +276,8 @@
     bad = b'{"metadata":{"name":"lm.a","revision":1},"spec":' + spec + b"}"
     body = b'{"items":[' + bad + b"," + good + b'],"truncated":false,"current_rev":9}'
     rollout = running()
-    with_store(gw, {"rollout-sessions": body}, lambda: _hear_sessions(gw, rollout))
-    assert rollout.held == {"s"}
+    with_store(gw, {"rollout-sessions": body}, lambda: _read_sessions(gw, rollout))
+    assert rollout.old_version_sessions == {"s"}
 
 
 @pytest.mark.parametrize("spec", [b"null", b'"x"', b"{}", b'{"version":"v2","part":"half"}'])
@@ -333,8 +333,8 @@
     apply_upstream_change(gw, Change(obj, False))
     apply_config(gw, obj._replace(name=names.CONFIG_NAME))
     _apply_rollout(gw, obj)
-    progress_seen(gw, obj)
-    gw.policies.seen(obj)
+    progress_changed(gw, obj)
+    gw.policies.update(obj)
     apply_gateway_entry(gw, obj)
     for up in gw.members.usable("lm", clock.now()):
         assert up.slots > 0
--- a/tests/test_gateway_backlogs.py
+++ b/tests/test_gateway_backlogs.py
@@ -10,7 +10,13 @@
 import pytest
 
 from ramppost import clock
-from ramppost.gateway.backlogs import ASK_TIMEOUT_S, MISSES, Backlogs, Question, Told
+from ramppost.gateway.backlogs import (
+    ASK_TIMEOUT_S,
+    MAX_MISSED_REPLIES,
+    BacklogEstimate,
+    BacklogQuery,
+    Backlogs,
+)
 from ramppost.gateway.datagrams import Datagrams
 from ramppost.gateway.metrics import Metrics
 from ramppost.gateway.model import Upstream
@@ -21,7 +27,7 @@
 
 NEAR = Upstream("e-near", "127.0.0.1:9", "lm", "north", "v1", 8, False)
 FAR = Upstream("e-far", "127.0.0.1:9", "lm", "south", "v1", 8, False)
-QUESTION = Question(2, "m", ("one", "two"))
+QUESTION = BacklogQuery(2, "m", ("one", "two"))
 HOST = "127.0.0.1"
 
 
@@ -51,7 +57,7 @@
             self.datagrams[name].listen,
             HOST,
             self.ports[name],
-            backlogs.take,
+            backlogs.handle_datagram,
             daemon=True,
         )
         await curio.sleep(0.01)
@@ -73,23 +79,23 @@
 
 def test_what_one_gateway_sends_the_other_knows() -> None:
     async def scene(site: Site) -> None:
-        site.north.sent(FAR, "a", reading())
+        site.north.record_sent(FAR, "a", reading())
         await curio.sleep(0.01)
         told = await site.south.ask([FAR, NEAR], QUESTION)
         assert 0.4 < told[FAR.id].ahead_s <= 0.5
-        assert told[FAR.id].kept == 2
-        assert told[NEAR.id] == Told(0.0, 0, True)
-        site.north.over(FAR, "a", began=True)
+        assert told[FAR.id].cached_parts == 2
+        assert told[NEAR.id] == BacklogEstimate(0.0, 0, True)
+        site.north.record_done(FAR, "a", began=True)
         await curio.sleep(0.01)
-        assert (await site.south.ask([FAR], QUESTION))[FAR.id] == Told(0.0, 2, True)
+        assert (await site.south.ask([FAR], QUESTION))[FAR.id] == BacklogEstimate(0.0, 2, True)
 
     play(scene)
 
 
 def test_a_gateway_asks_the_keeper_of_each_engine() -> None:
     async def scene(site: Site) -> None:
-        site.south.sent(FAR, "a", reading(0.5))
-        site.south.sent(NEAR, "b", reading(0.3))
+        site.south.record_sent(FAR, "a", reading(0.5))
+        site.south.record_sent(NEAR, "b", reading(0.3))
         await curio.sleep(0.01)
         told = await site.north.ask([FAR, NEAR], QUESTION)
         assert 0.4 < told[FAR.id].ahead_s <= 0.5 and told[FAR.id].complete
@@ -101,14 +107,20 @@
 def test_a_keeper_that_is_silent_costs_little_and_is_left_out() -> None:
     async def scene(site: Site) -> None:
         await site.tasks["south"].cancel()
-        site.north.sent(FAR, "a", reading(0.5))
-        for number in range(MISSES + 1):
+        site.north.record_sent(FAR, "a", reading(0.5))
+        for number in range(MAX_MISSED_REPLIES + 1):
             began = clock.now()
             told = await site.north.ask([FAR, NEAR], QUESTION)
             took_s = clock.now() - began
-            assert took_s < 2 * ASK_TIMEOUT_S if number < MISSES else took_s < ASK_TIMEOUT_S / 2
+            assert (
+                took_s < 2 * ASK_TIMEOUT_S
+                if number < MAX_MISSED_REPLIES
+                else took_s < ASK_TIMEOUT_S / 2
+            )
             assert 0.3 < told[FAR.id].ahead_s <= 0.5, "what it sent itself it knows"
-            assert told[FAR.id].complete == (number >= MISSES), "then it is the keeper itself"
+            assert told[FAR.id].complete == (number >= MAX_MISSED_REPLIES), (
+                "then it is the keeper itself"
+            )
 
     play(scene)
 
@@ -118,7 +130,7 @@
         await site.tasks["south"].cancel()
         assert not (await site.north.ask([FAR], QUESTION))[FAR.id].complete
         await site.start("south")
-        for _ in range(2 * MISSES):
+        for _ in range(2 * MAX_MISSED_REPLIES):
             assert (await site.north.ask([FAR], QUESTION))[FAR.id].complete
 
     play(scene)
@@ -152,9 +164,9 @@
 
 def test_an_engine_that_left_is_forgotten() -> None:
     async def scene(site: Site) -> None:
-        site.south.sent(FAR, "a", reading())
+        site.south.record_sent(FAR, "a", reading())
         site.south.forget(FAR.id)
-        assert (await site.south.ask([FAR], QUESTION))[FAR.id] == Told(0.0, 0, True)
+        assert (await site.south.ask([FAR], QUESTION))[FAR.id] == BacklogEstimate(0.0, 0, True)
 
     play(scene)
 
--- a/tests/test_gateway_loading.py
+++ b/tests/test_gateway_loading.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ramppost import clock
-from ramppost.gateway.copies import pack, unpack
+from ramppost.gateway.copies import decode_copy, encode_copy
 from ramppost.gateway.feed import LARGE_OBJECT_BYTES, feed_handler
 from ramppost.gateway.follow import Handlers, KindReplica
 from ramppost.gateway.loading import load_pending
@@ -290,13 +290,13 @@
     [
         b"",
         b"?",
-        pack(large(1))[:-9],
+        encode_copy(large(1))[:-9],
         zlib.compress(b"x" * (17 * 1024 * 1024)),
         zlib.compress(b"{}"),
     ],
 )
 def test_a_copy_that_is_damaged_or_too_large_is_not_taken(data: bytes) -> None:
-    assert isinstance(unpack(NAME, data), BadMessage)
+    assert isinstance(decode_copy(NAME, data), BadMessage)
 
 
 def test_a_copy_is_a_small_part_of_a_large_configuration() -> None:
@@ -305,4 +305,4 @@
 
     spec: dict[str, Any] = large_config(2, "/second/")
     obj = StoredObject(NAME, 6, spec, None)
-    assert len(pack(obj)) < len(encode(spec)) / 10
+    assert len(encode_copy(obj)) < len(encode(spec)) / 10
--- a/tests/test_gateway_policy.py
+++ b/tests/test_gateway_policy.py
@@ -7,8 +7,8 @@
 import pytest
 
 from ramppost.gateway.events import EventSplitter
-from ramppost.gateway.freshness import MARGIN_S, Freshness
-from ramppost.gateway.membership import LAPSE_GRACE_S, Members
+from ramppost.gateway.freshness import SAFETY_MARGIN_S, Freshness
+from ramppost.gateway.membership import EXPIRY_GRACE_S, Members
 from ramppost.gateway.model import RolloutOrder, Upstream
 from ramppost.gateway.rollouts import Rollouts
 from ramppost.policy.guard import AnswerTally, withdrawal_reason
@@ -218,7 +218,7 @@
 
 def rollouts(state: str = "ordered", at: float = 0.2) -> Rollouts:
     found = Rollouts(5.0)
-    found.seen(RolloutOrder("lm", "v2", 10.0, state, 1), NOW - 10.0 * at)  # type: ignore[arg-type]
+    found.update(RolloutOrder("lm", "v2", 10.0, state, 1), NOW - 10.0 * at)  # type: ignore[arg-type]
     return found
 
 
@@ -228,14 +228,20 @@
 def test_a_session_under_way_elsewhere_stays_in_the_first_half() -> None:
     first = [f"s{i}" for i in range(400) if ramp_position("lm", "v2", f"s{i}") < INITIAL_SHARE]
     fresh = rollouts(at=0.3)
-    assert all(fresh.side("lm", BOTH, "r", s, NOW).preferred[0].id == "new" for s in first)
+    assert all(
+        fresh.eligible_upstreams("lm", BOTH, "r", s, NOW).preferred[0].id == "new" for s in first
+    )
     held = rollouts(at=0.3)
-    running = held.of("lm")
+    running = held.get("lm")
     assert running is not None
-    running.held.update(first)
-    assert all(held.side("lm", BOTH, "r", s, NOW).preferred[0].id == "old" for s in first)
-    running.began_at = NOW - 8.0
-    assert all(held.side("lm", BOTH, "r", s, NOW).preferred[0].id == "new" for s in first)
+    running.old_version_sessions.update(first)
+    assert all(
+        held.eligible_upstreams("lm", BOTH, "r", s, NOW).preferred[0].id == "old" for s in first
+    )
+    running.started_at = NOW - 8.0
+    assert all(
+        held.eligible_upstreams("lm", BOTH, "r", s, NOW).preferred[0].id == "new" for s in first
+    )
 
 
 @pytest.mark.parametrize(
@@ -244,75 +250,75 @@
 )
 def test_an_ended_rollout_leaves_one_side(state: str, allowed: set[str]) -> None:
     for i in range(50):
-        side = rollouts(state).side("lm", BOTH, f"r{i}", "", NOW)
-        assert {u.id for u in [*side.preferred, *side.others]} == allowed
+        side = rollouts(state).eligible_upstreams("lm", BOTH, f"r{i}", "", NOW)
+        assert {u.id for u in [*side.preferred, *side.fallback]} == allowed
 
 
 def test_a_version_held_to_be_bad_gets_nothing_more() -> None:
     found = rollouts()
-    found.side("lm", BOTH, "r", "", NOW)
+    found.eligible_upstreams("lm", BOTH, "r", "", NOW)
     for _ in range(20):
-        found.judge("lm", BOTH[0], bad=False, slow=False)
+        found.record_answer("lm", BOTH[0], bad=False, slow=False)
     for _ in range(3):
-        found.judge("lm", BOTH[1], bad=True, slow=False)
+        found.record_answer("lm", BOTH[1], bad=True, slow=False)
     for i in range(200):
-        side = found.side("lm", BOTH, f"r{i}", "", NOW)
-        assert [u.id for u in [*side.preferred, *side.others]] == ["old"]
+        side = found.eligible_upstreams("lm", BOTH, f"r{i}", "", NOW)
+        assert [u.id for u in [*side.preferred, *side.fallback]] == ["old"]
 
 
 def test_the_new_version_is_no_way_out_in_the_first_half() -> None:
     old_only = [f"r{i}" for i in range(100) if not uses_new_version("lm", "v2", f"r{i}", 0.2, "")]
     for who in old_only:
-        assert rollouts().side("lm", BOTH, who, "", NOW).others == []
+        assert rollouts().eligible_upstreams("lm", BOTH, who, "", NOW).fallback == []
 
 
 def test_a_gateway_that_starts_late_goes_on_from_what_is_kept() -> None:
     found = rollouts(at=0.0)
-    found.progress_seen("lm", "v2", 0.7, NOW)
-    running = found.of("lm")
+    found.update_progress("lm", "v2", 0.7, NOW)
+    running = found.get("lm")
     assert running is not None
-    assert running.part(NOW) == pytest.approx(0.7)
+    assert running.elapsed_fraction(NOW) == pytest.approx(0.7)
 
 
 def test_progress_that_is_told_before_the_order_counts() -> None:
     found = Rollouts(5.0)
-    found.progress_seen("lm", "v2", 0.5, NOW - 2)
-    found.seen(RolloutOrder("lm", "v2", 10.0, "ordered", 1), NOW)
-    running = found.of("lm")
+    found.update_progress("lm", "v2", 0.5, NOW - 2)
+    found.update(RolloutOrder("lm", "v2", 10.0, "ordered", 1), NOW)
+    running = found.get("lm")
     assert running is not None
-    assert running.part(NOW) == pytest.approx(0.7)
+    assert running.elapsed_fraction(NOW) == pytest.approx(0.7)
 
 
 def test_progress_of_another_version_does_not_count() -> None:
     found = rollouts(at=0.2)
-    found.progress_seen("lm", "v1", 0.9, NOW)
-    running = found.of("lm")
+    found.update_progress("lm", "v1", 0.9, NOW)
+    running = found.get("lm")
     assert running is not None
-    assert running.part(NOW) == pytest.approx(0.2)
+    assert running.elapsed_fraction(NOW) == pytest.approx(0.2)
 
 
 def test_progress_never_goes_back() -> None:
     found = rollouts(at=0.8)
-    found.progress_seen("lm", "v2", 0.1, NOW)
-    running = found.of("lm")
+    found.update_progress("lm", "v2", 0.1, NOW)
+    running = found.get("lm")
     assert running is not None
-    assert running.part(NOW) == pytest.approx(0.8)
+    assert running.elapsed_fraction(NOW) == pytest.approx(0.8)
 
 
 # --- freshness
 
 
 @pytest.mark.parametrize(
-    ("age", "holds"), [(0.0, True), (4.0, True), (5.0 - MARGIN_S, False), (60.0, False)]
+    ("age", "holds"), [(0.0, True), (4.0, True), (5.0 - SAFETY_MARGIN_S, False), (60.0, False)]
 )
 def test_a_confirmation_grows_old(age: float, holds: bool) -> None:
     fresh = Freshness(5.0)
     fresh.confirm(NOW)
-    assert fresh.holds(NOW + age) is holds
+    assert fresh.is_fresh(NOW + age) is holds
 
 
 def test_without_a_confirmation_nothing_holds() -> None:
-    assert not Freshness(5.0).holds(NOW)
+    assert not Freshness(5.0).is_fresh(NOW)
 
 
 def test_a_late_answer_does_not_make_a_confirmation_older() -> None:
@@ -337,9 +343,9 @@
     members = Members()
     members.put(upstream("a"))
     members.remove("a", NOW)
-    assert members.usable("lm", NOW + LAPSE_GRACE_S - 0.1) != []
-    assert members.usable("lm", NOW + LAPSE_GRACE_S) == []
-    assert [u.id for u in members.sweep(NOW + LAPSE_GRACE_S)] == ["a"]
+    assert members.usable("lm", NOW + EXPIRY_GRACE_S - 0.1) != []
+    assert members.usable("lm", NOW + EXPIRY_GRACE_S) == []
+    assert [u.id for u in members.drop_expired(NOW + EXPIRY_GRACE_S)] == ["a"]
 
 
 def test_a_lapsed_entry_that_comes_back_stays() -> None:
@@ -347,7 +353,7 @@
     members.put(upstream("a"))
     members.remove("a", NOW)
     members.put(upstream("a"))
-    assert members.sweep(NOW + 60) == []
+    assert members.drop_expired(NOW + 60) == []
     assert members.usable("lm", NOW + 60) != []
 
 
@@ -364,7 +370,7 @@
     members.put(upstream("a"))
     members.replace_all([upstream("b")], NOW)
     assert [u.id for u in members.usable("lm", NOW)] == ["b"]
-    members.sweep(NOW + LAPSE_GRACE_S)
+    members.drop_expired(NOW + EXPIRY_GRACE_S)
     assert [u.id for u in members.all()] == ["b"]
 
 
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -11,8 +11,8 @@
 from ramppost import clock
 from ramppost.errors import Refusal
 from ramppost.gateway.admit import Admitted, admit
-from ramppost.gateway.backlogs import Question, Told
-from ramppost.gateway.departures import heard_leaving
+from ramppost.gateway.backlogs import BacklogEstimate, BacklogQuery
+from ramppost.gateway.departures import handle_leaving_note
 from ramppost.gateway.fatal_doc import FATAL_NAME, fatal_changed, fatal_listed
 from ramppost.gateway.freshness import Freshness
 from ramppost.gateway.job import Job
@@ -126,7 +126,7 @@
 def test_a_stale_configuration_refuses_nothing_for_good(
     gw: Gateway, prefix: str, key: str, let_in: bool
 ) -> None:
-    gw.freshness.bound_s = 0
+    gw.freshness.max_age_s = 0
     got = ask(gw, prefix, key)
     if let_in:
         assert isinstance(got, Admitted)
@@ -144,7 +144,7 @@
     """A gateway that had lost its relay and the store answered 404 for a route that had been
     confirmed and had to be in force by then: until its keys were too old, 4.7 s after its last
     word from the store, where routes must be in force after 2 s."""
-    gw.freshness = Freshness(gw.freshness.bound_s)
+    gw.freshness = Freshness(gw.freshness.max_age_s)
     apply_s = gw.cfg["timing"]["config_apply_ms"] / 1000
     gw.freshness.confirm(clock.now() - apply_s - late_s)
     got = ask(gw, "/nowhere/")
@@ -178,9 +178,9 @@
 ) -> None:
     asked: list[str] = []
 
-    async def ask(engines: list[Any], question: Question) -> dict[str, Told]:
+    async def ask(engines: list[Any], question: BacklogQuery) -> dict[str, BacklogEstimate]:
         asked.append(question.model)
-        return {engine.id: Told(0.0, 0, True) for engine in engines}
+        return {engine.id: BacklogEstimate(0.0, 0, True) for engine in engines}
 
     monkeypatch.setattr(gw.backlogs, "ask", ask)
     apply_upstream_snapshot(gw, Snapshot([entry("a"), entry("b")], 6))
@@ -204,7 +204,7 @@
     """A process that is frozen while it asks must not send by a configuration that grew old."""
 
     async def frozen(gw: Gateway, *_: Any) -> None:
-        gw.freshness.bound_s = 0
+        gw.freshness.max_age_s = 0
 
     monkeypatch.setattr("ramppost.gateway.serve.query_backlogs", frozen)
     apply_upstream_snapshot(gw, Snapshot([entry("a")], 6))
@@ -228,7 +228,7 @@
 
 def test_a_stopping_gateway_sends_callers_to_the_others_at_once(gw: Gateway) -> None:
     stopping(gw, 5.0)
-    heard_leaving(gw, LeavingNote(name="gateway-2", back_ms=3000))
+    handle_leaving_note(gw, LeavingNote(name="gateway-2", back_ms=3000))
     got = ask(gw, STREAM)
     assert (got.code, got.retry_after_s) == ("leaving", IMMEDIATE_RETRY_S)
 
@@ -236,14 +236,14 @@
 def test_where_all_gateways_stop_callers_are_told_when_the_first_is_back(gw: Gateway) -> None:
     stopping(gw, 5.0)
     for name, back_ms in (("gateway-2", 3000), ("gateway-3", 4000)):
-        heard_leaving(gw, LeavingNote(name=name, back_ms=back_ms))
+        handle_leaving_note(gw, LeavingNote(name=name, back_ms=back_ms))
     assert ask(gw, STREAM).retry_after_s == pytest.approx(3.0, abs=0.1)
 
 
 def test_a_gateway_that_should_be_back_is_taken_for_back(gw: Gateway) -> None:
     stopping(gw, 5.0)
-    heard_leaving(gw, LeavingNote(name="gateway-2", back_ms=0))
-    heard_leaving(gw, LeavingNote(name="gateway-3", back_ms=4000))
+    handle_leaving_note(gw, LeavingNote(name="gateway-2", back_ms=0))
+    handle_leaving_note(gw, LeavingNote(name="gateway-3", back_ms=4000))
     assert ask(gw, STREAM).retry_after_s == IMMEDIATE_RETRY_S
 
 
@@ -282,13 +282,13 @@
 def test_a_configuration_that_is_not_understood_is_not_confirmed(gw: Gateway) -> None:
     gw.freshness = Freshness(5.0)
     confirm_config(gw, clock.now())
-    assert gw.freshness.known
+    assert gw.freshness.ever_confirmed
     gw.freshness = Freshness(5.0)
     apply_config_snapshot(
         gw, Snapshot([StoredObject(names.CONFIG_NAME, 9, {"version": "x"}, None)], 9)
     )
     confirm_config(gw, clock.now())
-    assert not gw.freshness.known
+    assert not gw.freshness.ever_confirmed
 
 
 def versioned(name: str, version: str) -> StoredObject:
@@ -305,7 +305,7 @@
 ) -> None:
     listed = [versioned("old", "v1"), versioned("new-1", "v2"), versioned("new-2", "v2")]
     apply_upstream_snapshot(gw, Snapshot(listed, 6))
-    gw.rollouts.seen(RolloutOrder("lm", "v2", 10.0, "ordered", 6), clock.now() - 8)
+    gw.rollouts.update(RolloutOrder("lm", "v2", 10.0, "ordered", 6), clock.now() - 8)
     admitted = ask(gw, STREAM)
     assert isinstance(admitted, Admitted)
     job = Job(caller_request("POST", STREAM, (), b""), admitted, clock.now())
@@ -318,10 +318,10 @@
 def test_only_a_run_to_a_good_end_shows_that_a_request_is_harmless(gw: Gateway) -> None:
     """An engine's 504 after its time in the queue came whole, and cleared what ended engines."""
     for number in range(FATAL_START_ENDS):
-        curio.run(gw.fatal.ended, f"e{number}", "it", JUST_BEGUN)
+        curio.run(gw.fatal.record_end, f"e{number}", "it", JUST_BEGUN)
     for status in (504, 500, 400, 200):
         assert gw.fatal.is_fatal("it"), status
-        gw.fatal.answered("it", status)
+        gw.fatal.record_answer("it", status)
     assert not gw.fatal.is_fatal("it")
 
 
@@ -335,7 +335,7 @@
 
 def test_a_document_of_fatal_requests_is_taken_in_up_to_its_bound(gw: Gateway) -> None:
     fatal_listed(gw, Snapshot([stored_fatal(3 * MAX_FATAL, True)], 7))
-    assert len(gw.fatal.agreed) == MAX_FATAL
+    assert len(gw.fatal.published) == MAX_FATAL
     assert gw.fatal.is_fatal(f"r{3 * MAX_FATAL - 1}")
 
 
@@ -348,7 +348,7 @@
 def test_an_operator_lets_all_run_again_by_removing_the_document(gw: Gateway) -> None:
     fatal_listed(gw, Snapshot([stored_fatal(1, True)], 7))
     for number in range(FATAL_START_ENDS):
-        curio.run(gw.fatal.ended, f"e{number}", "it", JUST_BEGUN)
+        curio.run(gw.fatal.record_end, f"e{number}", "it", JUST_BEGUN)
     assert gw.fatal.is_fatal("r0") and gw.fatal.is_fatal("it")
     fatal_changed(gw, Change(stored_fatal(1, True), True))
     assert not gw.fatal.is_fatal("r0")
@@ -360,17 +360,17 @@
     obj.spec["requests"][0]["upstreams"] = ["e1", "e2"]
     fatal_listed(gw, Snapshot([obj], 7))
     assert not gw.fatal.is_fatal("r0")
-    curio.run(gw.fatal.ended, "e3", "r0", JUST_BEGUN)
+    curio.run(gw.fatal.record_end, "e3", "r0", JUST_BEGUN)
     assert gw.fatal.is_fatal("r0")
-    assert gw.fatal.unwritten["r0"]["certain"]
+    assert gw.fatal.unpublished["r0"]["certain"]
 
 
 def test_what_is_answered_well_leaves_the_document(gw: Gateway) -> None:
     obj = stored_fatal(1, False)
     obj.spec["requests"][0]["upstreams"] = ["e1", "e2"]
     fatal_listed(gw, Snapshot([obj], 7))
-    gw.fatal.answered("r0", 200)
-    curio.run(gw.fatal.ended, "e3", "r0", JUST_BEGUN)
+    gw.fatal.record_answer("r0", 200)
+    curio.run(gw.fatal.record_end, "e3", "r0", JUST_BEGUN)
     assert not gw.fatal.is_fatal("r0")
     assert gw.fatal.cleared == {"r0"}
 
@@ -379,7 +379,7 @@
     """A gateway that was away as the document was removed reads a list and no removal."""
     fatal_listed(gw, Snapshot([stored_fatal(1, True)], 7))
     for number in range(FATAL_START_ENDS):
-        curio.run(gw.fatal.ended, f"e{number}", "it", JUST_BEGUN)
+        curio.run(gw.fatal.record_end, f"e{number}", "it", JUST_BEGUN)
     fatal_listed(gw, Snapshot([], 9))
     assert not gw.fatal.is_fatal("r0")
     assert not gw.fatal.is_fatal("it")
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -59,11 +59,11 @@
 @pytest.mark.parametrize(
     ("changes", "field", "value"),
     [
-        ({}, "repeat", "any"),
-        ({"stream_resume": False}, "repeat", "never"),
-        ({"kind": "idempotent"}, "repeat", "any"),
+        ({}, "retry_mode", "any"),
+        ({"stream_resume": False}, "retry_mode", "never"),
+        ({"kind": "idempotent"}, "retry_mode", "any"),
         ({"kind": "idempotent"}, "streams", False),
-        ({"kind": "non_idempotent"}, "repeat", "never"),
+        ({"kind": "non_idempotent"}, "retry_mode", "never"),
         ({"kind": "non_idempotent"}, "resumable", False),
         ({"timeout_ms": 800}, "timeout_s", 0.8),
         ({"gap_aim_ms": 1200}, "gap_objective_s", 1.2),
@@ -131,7 +131,7 @@
         "cold_left_ms": 0,
         "call_seq": 4,
     }
-    assert upstream(StoredObject("i-1", 1, spec, None)) == UP._replace(leaving=leaving)
+    assert upstream(StoredObject("i-1", 1, spec, None)) == UP._replace(draining=leaving)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -143,7 +143,7 @@
             if not returning:
                 busy = PendingPrompt(now, 1.0, 0, "small", ())
                 found = next(u for u in gw.members.all() if u.id == f"i-{number}")
-                gw.backlogs.sent(found, "busy", busy)
+                gw.backlogs.record_sent(found, "busy", busy)
     sent: dict[str, list[float]] = {}
     for _ in range(148):
         now += rng.expovariate(148)
