--- a/ramppost/gateway/state.py
+++ b/ramppost/gateway/state.py
@@ -33,7 +33,7 @@
 from ramppost.policy.placement import PrefillRates
 from ramppost.policy.pressure import Pressure
 from ramppost.policy.relays import Peers
-from ramppost.policy.suspicion import Suspicion
+from ramppost.policy.suspicion import UpstreamHealth
 from ramppost.schema.settings import GatewaySettings
 from ramppost.wire.client import Pool
 
@@ -86,7 +86,7 @@
         self.loads = Loads()
         self.prefill_rates = PrefillRates()
         self.pressure = Pressure()
-        self.suspicions: dict[str, Suspicion] = {}
+        self.suspicions: dict[str, UpstreamHealth] = {}
         self.retry_budgets: dict[str, WindowBudget] = {}
         self.paces: dict[tuple[str, str], TimingBaseline] = {}
         self.rollouts = Rollouts(cfg["timing"]["session_s"])
@@ -149,9 +149,9 @@
         self.rollouts.pins.session_s = cfg["timing"]["session_s"]
         self.retry_budgets.clear()
 
-    def suspicion_of(self, upstream_key: str) -> Suspicion:
+    def suspicion_of(self, upstream_key: str) -> UpstreamHealth:
         """The failure evidence against an upstream."""
-        return self.suspicions.setdefault(upstream_key, Suspicion())
+        return self.suspicions.setdefault(upstream_key, UpstreamHealth())
 
     def retry_budget_of(self, service: str) -> WindowBudget:
         """This gateway's share of a service's retry budget."""
--- a/ramppost/policy/departures.py
+++ b/ramppost/policy/departures.py
@@ -1,10 +1,11 @@
-"""When a caller is to come back that a stopping gateway turns away.
-
-Pure.  The load this answers: gateways that are stopped in turn, each before the last one is
-back.  While another takes callers, the balancer sends them there at once.  Where all are
-stopping they would be turned away there, too, and a caller has a try or two: so it is told
-when the first of them is back.  On a day on which three gateways stop within four seconds,
-callers turned away for good fell from 8 in a thousand to none (mean of six seeds).
+"""Computes the retry delay for callers that a stopping gateway rejects.
+
+Pure.  The case this handles: a rolling restart in which each gateway stops before the previous one
+is back.  While another gateway accepts callers, the load balancer sends retries there, so they may
+be immediate.  If all are stopping, an immediate retry would be rejected as well, and callers retry
+only once or twice, so they are told when the first gateway will be back.  On a day on which three
+gateways stop within four seconds, the callers whose last retry was rejected fell from 8 in a
+thousand to none (mean of six seeds).
 """
 
 from __future__ import annotations
@@ -13,14 +14,14 @@
 from typing import Final
 
 IMMEDIATE_RETRY_S: Final = 0.05
-"""The balancer already sends new connections elsewhere."""
+"""Short, because the load balancer already sends new connections to other gateways."""
 
 
 def retry_delay_s(now: float, own_back_at: float, others: Mapping[str, float]) -> float:
-    """Seconds after which a caller finds a gateway that takes it.
+    """Seconds until a gateway accepts callers.
 
-    `others` gives when each other gateway that is known will be back, or minus infinity for
-    one that is not stopping.
+    `others` gives when each other known gateway will be back, or minus infinity for one that is not
+    stopping.
 
     >>> retry_delay_s(10.0, 14.0, {"a": 12.5, "b": 13.0})
     2.5
--- a/ramppost/policy/fingerprint.py
+++ b/ramppost/policy/fingerprint.py
@@ -1,7 +1,7 @@
-"""What stays the same when a request comes again.
+"""Computes a fingerprint that identifies repeated requests.
 
-Pure.  Each try of a caller has an id of its own, so the id can't tell that a request has come
-before, at this gateway or at another.  Its path, its body and whose it is can.
+Pure.  Each retry by a caller has a new request id, so the id doesn't show that the same request has
+arrived before, at this gateway or another.  Its host, path, body and workspace do.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from typing import Final
 
 DIGEST_BYTES: Final = 8
-"""Among a million requests two share a fingerprint once in 37 million times."""
+"""The probability that any two of a million requests share a fingerprint is 1 in 37 million."""
 
 
 def fingerprint(host: str, target: str, caller: str, body: bytes) -> str:
-    """Names a request by its content; `caller` is its workspace, empty where it has none.
+    """A hash of a request's content; `caller` is its workspace, or "" if it has none.
 
     >>> first = fingerprint("site.example", "/ask/2f", "kitchen", b"question")
     >>> first == fingerprint("site.example", "/ask/2f", "kitchen", b"question")
--- a/ramppost/policy/limits.py
+++ b/ramppost/policy/limits.py
@@ -1,6 +1,6 @@
-"""Limits at an entry or gateway: tokens and concurrency of a workspace, and the retry budget.
+"""Rate limits of an entry or gateway: tokens of a workspace, and retry budgets.
 
-Pure: the clock is an argument.
+Pure: the current time is an argument.
 """
 
 from __future__ import annotations
@@ -12,20 +12,25 @@
 RETRY_BURST: Final = 2.0
 MIN_WAIT_S: Final = 0.5
 SLOT_FRACTION: Final = 0.05
-"""Part of a budget's window that is counted as one: so much longer a retry is remembered."""
+"""Length of a counting slot as a fraction of the window; a retry counts for up to this much longer
+than the window."""
 SHARED_FRACTION: Final = 0.85
-"""Part of the allowed retries that gateways share: the rest is for retries counted late, and for
-gateways that have come and that the others do not know of yet."""
+"""Fraction of the allowed retries that is divided among the gateways.  The rest covers retries that
+are counted late and new gateways that the others don't know of yet."""
 MIN_SHARING_GATEWAYS: Final = 16
-"""A small fleet may double within seconds, while each gateway still counts the former ones."""
+"""Minimum divisor of the slack: a small fleet may double within seconds, while each gateway still
+uses the previous size."""
 UNKNOWN_FLEET_SLACK: Final = 1.0
-"""Slack of a gateway that does not know its fleet yet: so that it can try one again.  The slack of
-deployments is 1.8 for each of their gateways and some 50, from 4 gateways to 68."""
+"""Slack of a gateway that doesn't know its fleet yet, which allows one retry.  Deployments of 4 to
+68 gateways have a slack of about 50 plus 1.8 for each gateway."""
 
 
 class TokenBucket:
-    """Generated tokens of a workspace.  What a request will use is not known before,
-    so a request is let in while the bucket is above zero and charged when it ends."""
+    """Limits the generated tokens of a workspace.
+
+    The tokens that a request will use are not known in advance, so a request is admitted
+    while the bucket is above zero and charged when it ends.
+    """
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
         self.rate = rate
@@ -34,7 +39,7 @@
         self._at = now
 
     def wait_s(self, now: float) -> float:
-        """Seconds until a request may go, 0 for now."""
+        """Seconds until a request is admitted; 0 if it is admitted now."""
         self._refill(now)
         if self.level > 0:
             return 0.0
@@ -43,7 +48,7 @@
         return max(MIN_WAIT_S, -self.level / self.rate)
 
     def charge(self, tokens: int, now: float) -> None:
-        """Take what a request has used."""
+        """Deduct the tokens that a request has used."""
         self._refill(now)
         self.level -= tokens
 
@@ -53,10 +58,10 @@
 
 
 class RetryBudget:
-    """Retries may be a share of first tries, so that they can't amplify an outage.
+    """Limits retries to a share of first tries, so that they can't amplify an outage.
 
-    `share` is what each first try adds, `burst` the most that is saved up, so that any
-    window holds at most `share` of its first tries and `burst` more.
+    Each first try adds `share` to the budget, up to `burst`, so that the retries in any window
+    are at most `share` of its first tries plus `burst`.
     """
 
     def __init__(self, share: float = RETRY_SHARE, burst: float = RETRY_BURST) -> None:
@@ -67,12 +72,12 @@
         self.retries = 0
 
     def record_try(self) -> None:
-        """A request was tried for the first time."""
+        """Record the first try of a request."""
         self.tries += 1
         self.left = min(self.burst, self.left + self.share)
 
     def take(self) -> bool:
-        """Whether one more retry is within the budget."""
+        """Take one retry from the budget; false if the budget is exhausted."""
         if self.left < 1:
             return False
         self.left -= 1
@@ -81,10 +86,11 @@
 
 
 def slack_per_gateway(slack: float, gateways: int) -> float:
-    """A gateway's part of the slack that a service's retries have, in a fleet of so many; 0 for
-    one that is not known yet.
+    """A gateway's part of the slack of a service's retry budget; `gateways` is the fleet size, or 0
+    if it is not known yet.
 
-    With a sixteenth for each whatever the size, 68 gateways had 4.3 times the slack.
+    When each gateway had a sixteenth regardless of the fleet size, 68 gateways together had 4.3
+    times the slack.
 
     >>> slack_per_gateway(58, 6), round(slack_per_gateway(176, 68), 2), slack_per_gateway(176, 0)
     (3.08125, 2.2, 1.0)
@@ -95,11 +101,11 @@
 
 
 class WindowBudget:
-    """Retries by what a window of time holds: a share of its first tries, and some slack.
+    """Limits retries in a sliding window to a share of its first tries plus a constant slack.
 
-    Unlike a bucket it lets a gateway whose upstreams crash spend at once what it has not
-    used in the window, so that streams by the dozen can be taken up elsewhere.  Retries
-    are never more than `share` of the tries of the last `window_s` seconds and `slack`.
+    Unlike with `RetryBudget`, a gateway whose upstreams crash may use the unspent budget of the
+    whole window at once, so that dozens of streams can be resumed on other upstreams.  Retries
+    never exceed `share` of the first tries of the last `window_s` seconds plus `slack`.
 
     >>> budget = WindowBudget(0.5, 10.0, 1.0)
     >>> for _ in range(4): budget.record_try(100.0)
@@ -112,15 +118,15 @@
         self.window_s = window_s
         self.slack = slack
         self._slots: deque[tuple[float, int, int]] = deque()
-        """When each slot of time ends, and the tries and retries in it."""
+        """End time, first tries and retries of each slot."""
 
     def record_try(self, now: float) -> None:
-        """A request was tried for the first time."""
+        """Record the first try of a request."""
         self._count(now, 1, 0)
 
     def available(self, now: float) -> float:
-        """Retries that may follow at once."""
-        # Tries and retries of a slot are forgotten together, when its end has left the window.
+        """Number of retries that may be made now."""
+        # The tries and retries of a slot expire together, when its end leaves the window.
         while self._slots and self._slots[0][0] <= now - self.window_s:
             self._slots.popleft()
         tries = sum(slot[1] for slot in self._slots)
@@ -128,7 +134,7 @@
         return self.share * tries + self.slack - retries
 
     def take(self, now: float) -> bool:
-        """Whether one more retry is within the budget."""
+        """Take one retry from the budget; false if the budget is exhausted."""
         if self.available(now) < 1:
             return False
         self._count(now, 0, 1)
--- a/ramppost/policy/pace.py
+++ b/ramppost/policy/pace.py
@@ -1,9 +1,9 @@
-"""Which answers of a version are slow, by the pace of the model's stable version.
+"""Classifies answers of a trial version as slow, relative to the model's stable version.
 
-Pure.  Each agent keeps, for each model, how long the stable version lately took
-to the first token and between tokens at its own upstream, and calls an answer
-slow that took twice as long in either.  So the guard needs no figure from the
-operator, and load, which slows both versions, does not speak against the trial.
+Pure.  For each model, an agent keeps the recent average time to first token and
+between tokens of the stable version at its own upstream.  An answer is slow if
+either took twice as long.  Therefore the guard needs no thresholds from the
+operator, and load, which slows both versions, doesn't count against the trial.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 
 
 class Timing(NamedTuple):
-    """Seconds to the first token, and from one token to the next on average."""
+    """Time to first token, and average time between tokens, in seconds."""
 
     first_token_s: float
     token_gap_s: float
 
 
 class TimingBaseline:
-    """The stable version's usual timing."""
+    """The stable version's average timing, exponentially weighted."""
 
     def __init__(self) -> None:
         self.samples = 0
         self.average = Timing(0.0, 0.0)
 
     def record(self, timing: Timing) -> None:
-        """Take in an answer of the stable version."""
+        """Add an answer of the stable version to the average."""
         self.samples += 1
         weight = max(MIN_WEIGHT, 1 / self.samples)
         first_token_s = self.average.first_token_s + weight * (
@@ -44,7 +44,7 @@
         )
 
     def is_slow(self, timing: Timing) -> bool:
-        """Whether an answer was slow; never before the usual timing is known.
+        """Whether an answer was slow; false until there are enough samples.
 
         >>> baseline = TimingBaseline()
         >>> for _ in range(10): baseline.record(Timing(0.2, 0.03))
--- a/tests/test_gateway_policy.py
+++ b/tests/test_gateway_policy.py
@@ -21,7 +21,7 @@
     share_at,
     uses_new_version,
 )
-from ramppost.policy.suspicion import Suspicion
+from ramppost.policy.suspicion import UpstreamHealth
 
 NOW = 1000.0
 
@@ -34,7 +34,7 @@
 
 
 def test_failures_fade() -> None:
-    seen = Suspicion()
+    seen = UpstreamHealth()
     for _ in range(5):
         seen.record_outcome(True, NOW)
     assert seen.failure_rate(NOW) > 0.8
@@ -42,7 +42,7 @@
 
 
 def test_good_answers_clear_suspicion() -> None:
-    seen = Suspicion()
+    seen = UpstreamHealth()
     seen.record_outcome(True, NOW)
     for _ in range(6):
         seen.record_outcome(False, NOW)
@@ -50,7 +50,7 @@
 
 
 def test_latency_returns_to_the_usual_one() -> None:
-    seen = Suspicion()
+    seen = UpstreamHealth()
     seen.record_latency(0.5, NOW)
     assert seen.latency_s(0.03, NOW) == pytest.approx(0.5)
     assert seen.latency_s(0.03, NOW + 20) < 0.05
