--- a/ramppost/gateway/models.py
+++ b/ramppost/gateway/models.py
@@ -1,4 +1,4 @@
-"""Which models answer a request, in which order, and when an answer is good enough."""
+"""Determines the models for a request, their order, and whether a response is acceptable."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class ModelPlan(NamedTuple):
-    """Models that may answer, the smallest first, by a policy.
+    """The models that may run a request, smallest first, and the policy that selected them.
 
-    `models` holds one empty name where the caller's own model stands.
+    `models` holds a single empty name if the model named by the caller is used.
     """
 
     models: tuple[str, ...]
@@ -23,8 +23,10 @@
 
 
 def adjusted_for_load(policy: Policy, shortage: float, read_s: float) -> Policy:
-    """A `learned` policy as a cascade with the threshold that the load allows for a prompt that
-    the larger model takes `read_s` seconds to read."""
+    """Convert a `learned` policy to a cascade with a threshold adjusted to the load.
+
+    `read_s` is the time in seconds that the larger model takes to read the prompt.
+    """
     if policy["kind"] != "learned":
         return policy
     threshold = relaxed_threshold(policy.get("threshold", DEFAULT_THRESHOLD), shortage, read_s)
@@ -34,10 +36,9 @@
 def model_plan(route: Route, policy: Policy, any_model: bool, may_retry: bool) -> ModelPlan:
     """The models for a request by its policy.
 
-    One that there is no retry left for goes straight to the largest: a second stage counts
-    as a retry.  A stream that its caller takes up again goes through the cascade like any
-    other: after all gateways were killed, largest models for all streams would hold the
-    engines up for seconds.
+    A request without a remaining retry goes directly to the largest model, because a second stage
+    counts as a retry.  A stream that its caller resumes uses the cascade like any other: after all
+    gateways were killed, the largest model for all streams would block the engines for seconds.
     """
     if not any_model or not route.models:
         return ModelPlan(("",), policy)
@@ -48,19 +49,19 @@
 
 
 def is_acceptable(plan: ModelPlan, model: str, confidence: float | None) -> bool:
-    """Whether an answer is taken; `confidence` is 0 to 100, None where not told."""
-    last = model == plan.models[-1]
-    return last or confidence is None or cascade_stops(plan.policy, confidence / 100)
+    """Whether a response is accepted; `confidence` is 0 to 100, None if not reported."""
+    is_largest = model == plan.models[-1]
+    return is_largest or confidence is None or cascade_stops(plan.policy, confidence / 100)
 
 
 def next_model(
-    plan: ModelPlan, model: str, first_s: Callable[[str], float | None], left_s: float
+    plan: ModelPlan, model: str, predict_first_s: Callable[[str], float | None], left_s: float
 ) -> str:
-    """The model to ask after one whose answer is not good enough; empty where none is.
+    """The model to try after one whose response is not acceptable; empty if there is none.
 
-    The largest that is predicted to begin within what is left of the objective: an answer
-    that comes late earns little, and a long prompt holds up others while it is read.
-    `first_s` predicts the seconds to a model's first token, None where nobody serves it.
+    This is the largest model that is predicted to start within the rest of the objective: a late
+    response is worth little, and reading a long prompt delays other requests.  `predict_first_s`
+    predicts the seconds to a model's first token, or None if no upstream serves the model.
 
     >>> plan = ModelPlan(("s", "m", "l"), Policy(name="p", kind="cascade", models=[]))
     >>> next_model(plan, "s", {"m": 0.3, "l": 2.0}.get, 1.2)
@@ -68,7 +69,7 @@
     """
     larger = plan.models[plan.models.index(model) + 1 :]
     for candidate in reversed(larger):
-        predicted_s = first_s(candidate)
+        predicted_s = predict_first_s(candidate)
         if predicted_s is not None and predicted_s <= left_s:
             return candidate
     return ""
