--- a/ramppost/gateway/job.py
+++ b/ramppost/gateway/job.py
@@ -1,4 +1,4 @@
-"""A request on its way through the gateway."""
+"""The state of a request while the gateway processes it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class BacklogSnapshot(NamedTuple):
-    """What was told of engines for a model, and when (steady clock)."""
+    """Backlogs of engines for a model, and when they were queried (steady clock)."""
 
     model: str
     backlogs: dict[str, BacklogEstimate]
@@ -19,7 +19,7 @@
 
 
 class Job:
-    """A request, what has been tried for it, and until when; times on the steady clock."""
+    """A request with its attempts and deadline; times on the steady clock."""
 
     def __init__(self, req: CallerRequest, admitted: Admitted, read_at: float) -> None:
         self.req = req
@@ -27,39 +27,42 @@
         self.workspace = admitted.workspace
         caller = admitted.workspace.name if admitted.workspace is not None else ""
         self.fingerprint = fingerprint(req.host, req.target, caller, req.body)
-        """What it has in common with its other tries, at any gateway."""
+        """Identifies all submissions of the same request, at any gateway."""
         self.read_at = read_at
         self.deadline = read_at + min(req.deadline_s, admitted.route.timeout_s)
         self.attempts = 0
-        """Upstreams that it was sent to, those that refused it among them."""
+        """Number of upstreams that the request was sent to, including those that refused it."""
         self.upstream_ends = 0
-        """Those of them that ended while they had it."""
+        """Number of these upstreams that ended while they had the request."""
         self.may_have_run = False
-        """Whether an upstream got it and did not say that it had not run it."""
+        """Whether an upstream was sent the request and has not reported that it did not run it."""
         self.tried_upstreams: set[str] = set()
         self.backlog_snapshot: BacklogSnapshot | None = None
-        """The last look at engines that may take it."""
+        """The last query of the engines that may run the request."""
         self.failed_versions: set[str] = set()
-        """Versions of upstreams that answered with a failure which was tried again."""
+        """Versions of upstreams that returned an error status that was retried."""
         self.policy = ""
-        """Name of the policy that chose its models, empty where the caller named one."""
+        """Name of the policy that selected the models, empty if the caller named one."""
         self.cost = 0.0
-        """What its answers have cost so far, dropped ones too, in the platform's prices."""
+        """Cost of its responses so far, including discarded ones, in the platform's prices."""
         self.confidence: float | None = None
-        """Of the answer that was passed on, 0 to 100."""
+        """Confidence of the forwarded response, 0 to 100."""
         self.head_at: float | None = None
-        """When the head of that answer came (steady clock)."""
+        """When the head of that response arrived (steady clock)."""
         self.forwarded_events = 0
-        """Events of a stream that were passed on."""
+        """Number of stream events that were forwarded."""
         self.last_event_id = ""
-        """Of the last event passed on, as the upstream gave it."""
+        """Id of the last forwarded event, as set by the upstream."""
 
     @property
     def counted_attempts(self) -> int:
-        """Attempts that count against the route's: an upstream's end says nothing of a request
-        that ran beside others, and one that ends upstreams is stopped by itself."""
+        """Attempts that count against the limit of the route.
+
+        Attempts whose upstream ended are not counted: the end says nothing about a request that ran
+        beside others, and a request that ends upstreams is stopped separately.
+        """
         return self.attempts - self.upstream_ends
 
     def left_s(self, now: float) -> float:
-        """Seconds until it has to be answered."""
+        """Seconds left until the deadline."""
         return self.deadline - now
