--- a/ramppost/gateway/forwarding.py
+++ b/ramppost/gateway/forwarding.py
@@ -1,7 +1,8 @@
-"""Passes an upstream's answer on to the caller.
+"""Forwards an upstream's response to the caller.
 
-Streams go event by event as they come.  A whole answer is read first, so that one that
-breaks off can still be asked for again; a large one is passed on while it comes.
+Streams are forwarded event by event as they arrive.  Any other response is buffered completely
+before it is sent, so that it can still be retried if it breaks off; a large one is forwarded as it
+arrives.
 """
 
 from __future__ import annotations
@@ -20,16 +21,17 @@
 from ramppost.platform.headers import Headers
 from ramppost.policy.fatal import ObservedRun
 
-HELD_BYTES: Final = 262144
-"""A whole answer up to this size is read before it is passed on."""
-STALL_GAPS: Final = 3.0
-"""A stream that pauses so many times its allowed gap is taken up elsewhere."""
+MAX_BUFFERED_BYTES: Final = 262144
+"""A response up to this size is read completely before it is forwarded."""
+STALL_GAP_FACTOR: Final = 3.0
+"""Multiple of a stream's allowed gap after which the stream is resumed at another upstream."""
 
 
 class Forwarded(NamedTuple):
-    """The answer was passed on whole; seconds from sending to its first and last byte.
+    """A response that was forwarded completely.
 
-    Where it is not `framed`, an upstream that ended within it would have looked the same.
+    `first_s` and `last_s` are the seconds from sending the request to its first and last byte.  If
+    it is not `framed`, it can't be told from one that was cut short by the end of its upstream.
     """
 
     first_s: float
@@ -38,62 +40,62 @@
     framed: bool
 
 
-async def forward_response(
-    running: Running, reply: Reply, course: ObservedRun
-) -> Forwarded | Broken:
-    """Pass on an answer that is not a stream.  `course` is told of each piece that comes."""
+async def forward_response(running: Running, reply: Reply, run: ObservedRun) -> Forwarded | Broken:
+    """Forward a response that is not a stream.  `run` records each chunk that arrives."""
     body = bytearray()
     while True:
-        piece = await running.exchange.read_chunk()
-        if isinstance(piece, Broken):
-            return piece
-        if isinstance(piece, BodyEnd):
+        chunk = await running.exchange.read_chunk()
+        if isinstance(chunk, Broken):
+            return chunk
+        if isinstance(chunk, BodyEnd):
             break
-        course.record_piece(clock.now())
+        run.record_piece(clock.now())
         if reply.started:
-            await reply.write(piece)
+            await reply.write(chunk)
             continue
-        body += piece
-        if len(body) > HELD_BYTES:
+        body += chunk
+        if len(body) > MAX_BUFFERED_BYTES:
             await reply.start(running.head.status, running.head.headers, bytes(body))
     if reply.started:
         await reply.end()
     else:
         await reply.send(running.head.status, running.head.headers, bytes(body))
-    return Forwarded(running.first_s, clock.now() - running.sent_at, 0, piece.framed)
+    return Forwarded(running.first_s, clock.now() - running.sent_at, 0, chunk.framed)
 
 
 async def forward_stream(
-    gw: Gateway, job: Job, running: Running, reply: Reply, course: ObservedRun
+    gw: Gateway, job: Job, running: Running, reply: Reply, run: ObservedRun
 ) -> Forwarded | Broken:
-    """Pass on a stream's events; Broken where it stops before its end.  `course` is told of each
-    piece that comes."""
+    """Forward the events of a stream; Broken if it stops before its end.
+
+    `run` records each chunk that arrives.
+    """
     splitter = EventSplitter()
-    passed = 0
+    forwarded = 0
     while True:
-        piece = await _piece_in_time(gw, job, running)
-        if isinstance(piece, Broken):
-            return piece
-        if isinstance(piece, BodyEnd):
+        chunk = await _read_chunk_in_time(gw, job, running)
+        if isinstance(chunk, Broken):
+            return chunk
+        if isinstance(chunk, BodyEnd):
             if splitter.remainder:
                 return Broken("stream ended within an event", by_peer=True)
             break
-        course.record_piece(clock.now())
-        events = splitter.feed(piece)
+        run.record_piece(clock.now())
+        events = splitter.feed(chunk)
         for event in events:
-            if not _follows(job, event):
+            if not _is_next_event(job, event):
                 return Broken(f"event {event.id!r} after {job.last_event_id!r}")
             if event.id:
                 job.last_event_id = event.id
         if events:
             await _write_events(running, reply, b"".join(event.raw for event in events))
-            passed += len(events)
+            forwarded += len(events)
             job.forwarded_events += len(events)
     if not reply.started:
         await reply.send(running.head.status, running.head.headers, b"")
     else:
         await reply.end()
-    return Forwarded(running.first_s, clock.now() - running.sent_at, passed, piece.framed)
+    return Forwarded(running.first_s, clock.now() - running.sent_at, forwarded, chunk.framed)
 
 
 async def _write_events(running: Running, reply: Reply, data: bytes) -> None:
@@ -104,28 +106,28 @@
 
 
 def without_content_length(headers: Headers) -> Headers:
-    """Headers for an answer that may go on from another upstream."""
+    """Headers for a response that may be resumed from another upstream."""
     return tuple(item for item in headers if item[0] != b"content-length")
 
 
-def _follows(job: Job, event: Event) -> bool:
-    """Whether an event is the next one; ids rise by one."""
+def _is_next_event(job: Job, event: Event) -> bool:
+    """Whether an event is the next in order; ids increase by one."""
     if not event.id.isdigit() or not job.last_event_id.isdigit():
         return True
     return int(event.id) == int(job.last_event_id) + 1
 
 
-async def _piece_in_time(gw: Gateway, job: Job, running: Running) -> bytes | BodyEnd | Broken:
-    """The next bytes; Broken where the upstream has gone silent altogether."""
-    limit_s = STALL_GAPS * job.route.gap_objective_s
+async def _read_chunk_in_time(gw: Gateway, job: Job, running: Running) -> bytes | BodyEnd | Broken:
+    """Read the next chunk; Broken if nothing at all arrives from the upstream."""
+    timeout_s = STALL_GAP_FACTOR * job.route.gap_objective_s
     while True:
-        since = clock.now()
+        silent_since = clock.now()
         try:
-            got: bytes | BodyEnd | Broken = await curio.timeout_after(
-                limit_s, running.exchange.read_chunk()
+            chunk: bytes | BodyEnd | Broken = await curio.timeout_after(
+                timeout_s, running.exchange.read_chunk()
             )
-            return got
+            return chunk
         except curio.TaskTimeout:
             upstream_key = running.chosen.upstream.key
-            if gw.links.last_received_at.get(upstream_key, float("-inf")) < since:
-                return Broken(f"silent for {limit_s:.1f} s within its stream")
+            if gw.links.last_received_at.get(upstream_key, float("-inf")) < silent_since:
+                return Broken(f"silent for {timeout_s:.1f} s within its stream")
