--- a/ramppost/gateway/endings.py
+++ b/ramppost/gateway/endings.py
@@ -1,8 +1,9 @@
 """Tells an upstream that has ended from one that only closed a connection.
 
-An answer that breaks off says little: connections are reset, answers spoiled.  Where an upstream's
-process has ended, its box refuses the next connection; one that has gone dark does not answer.  So
-whoever finds an answer broken off asks for one, once for all that broke off there at that moment.
+A response that breaks off proves little, because connections are reset and responses corrupted.  If
+the process of an upstream has ended, its box refuses the next connection; an unreachable box does
+not respond to it.  So a connection is attempted after a response has broken off, once for all
+responses that broke off at the upstream at that moment.
 """
 
 from __future__ import annotations
@@ -18,67 +19,71 @@
 from ramppost.wire.client import CallFailed, connect
 
 ProbeResult = Literal["alive", "silent", "ended"]
-"""What an upstream's box does with a connection: takes it, says nothing, or refuses it."""
+"""Whether the box of an upstream accepts a connection, does not respond, or refuses it."""
 
-ASK_TIMEOUT_S: Final = 0.25
-"""A box that is up answers within the way there and back; a dark one never does."""
-GOOD_S: Final[dict[ProbeResult, float]] = {"alive": 0.05, "silent": 0.5, "ended": float("inf")}
-"""How long what was found is good: for all whose answers broke off at one moment, and for a silent
-one longer than it takes to ask."""
-MAX_KEPT: Final = 1024
-"""Starts of upstreams whose answers are remembered."""
+PROBE_TIMEOUT_S: Final = 0.25
+"""A reachable box responds within one round trip; an unreachable one never does."""
+RESULT_VALID_S: Final[dict[ProbeResult, float]] = {
+    "alive": 0.05,
+    "silent": 0.5,
+    "ended": float("inf"),
+}
+"""How long a result is valid: long enough for all responses that broke off at one moment, and for a
+silent upstream longer than a probe takes."""
+MAX_RESULTS: Final = 1024
+"""Maximum number of upstream starts whose results are kept."""
 
 
-class _Question:
-    """What has become of an upstream: asked, and perhaps answered."""
+class _Probe:
+    """A probe of an upstream, under way or done."""
 
-    def __init__(self, at: float) -> None:
-        self.at = at
-        self.answered = curio.Event()
-        self.fate: ProbeResult = "alive"
+    def __init__(self, started_at: float) -> None:
+        self.started_at = started_at
+        self.done = curio.Event()
+        self.result: ProbeResult = "alive"
 
 
 class UpstreamProbes:
-    """What upstreams were found to be whose answers broke off, by start."""
+    """Probes of upstreams whose responses broke off, by start of the upstream."""
 
-    def __init__(self, links: ConnectionPool) -> None:
-        self._links = links
-        self._asked: dict[str, _Question] = {}
+    def __init__(self, pool: ConnectionPool) -> None:
+        self._pool = pool
+        self._probes: dict[str, _Probe] = {}
 
     async def probe(self, upstream: Upstream) -> ProbeResult:
-        """What has become of an upstream that broke an answer off."""
+        """Probe an upstream after a response broke off, or reuse a result that is still valid."""
         now = clock.now()
-        asked = self._asked.get(upstream.key)
-        if asked is not None and now - asked.at < GOOD_S[asked.fate]:
-            await asked.answered.wait()
-            return asked.fate
-        asked = self._remember(upstream.key, _Question(now))
+        probe = self._probes.get(upstream.key)
+        if probe is not None and now - probe.started_at < RESULT_VALID_S[probe.result]:
+            await probe.done.wait()
+            return probe.result
+        probe = self._remember(upstream.key, _Probe(now))
         try:
-            asked.fate = await self._ask(upstream)
+            probe.result = await self._connect(upstream)
         finally:
-            await asked.answered.set()
-        if asked.fate != "alive":
+            await probe.done.set()
+        if probe.result != "alive":
             logger.info(
-                "upstream has ended" if asked.fate == "ended" else "upstream went silent",
+                "upstream has ended" if probe.result == "ended" else "upstream went silent",
                 upstream=upstream.id,
                 service=upstream.service,
                 addr=upstream.addr,
             )
-        return asked.fate
+        return probe.result
 
     def forget(self, upstream_key: str) -> None:
-        """An upstream is gone, or has started again."""
-        self._asked.pop(upstream_key, None)
-
-    def _remember(self, upstream_key: str, asked: _Question) -> _Question:
-        self._asked.pop(upstream_key, None)
-        self._asked[upstream_key] = asked
-        while len(self._asked) > MAX_KEPT:
-            del self._asked[next(iter(self._asked))]
-        return asked
-
-    async def _ask(self, upstream: Upstream) -> ProbeResult:
-        sock = await connect(upstream.addr, (self._links.source, 0), ASK_TIMEOUT_S)
+        """Discard the result of an upstream that has left or restarted."""
+        self._probes.pop(upstream_key, None)
+
+    def _remember(self, upstream_key: str, probe: _Probe) -> _Probe:
+        self._probes.pop(upstream_key, None)
+        self._probes[upstream_key] = probe
+        while len(self._probes) > MAX_RESULTS:
+            del self._probes[next(iter(self._probes))]
+        return probe
+
+    async def _connect(self, upstream: Upstream) -> ProbeResult:
+        sock = await connect(upstream.addr, (self._pool.source_host, 0), PROBE_TIMEOUT_S)
         if isinstance(sock, CallFailed):
             return "ended" if sock.refused else "silent"
         await sock.close()
