--- a/ramppost/gateway/inbound.py
+++ b/ramppost/gateway/inbound.py
@@ -1,8 +1,8 @@
-"""Callers' connections: reads requests, notices callers that leave, writes answers.
+"""Connections of callers: reads requests, detects disconnects and writes responses.
 
-Each connection is a task.  While a request is being served the connection is also
-read: bytes are kept for the next request, an end cancels the work, so that upstreams
-stop too.  Limits come from the configuration in force.
+Each connection has a task.  The connection is also read while a request is served: bytes are kept
+for the next request, and a disconnect cancels the request, so that its upstream stops, too.  The
+limits are those of the current configuration.
 """
 
 from __future__ import annotations
@@ -23,28 +23,29 @@
 
 READ_SIZE: Final = 65536
 MAX_CONNECTIONS: Final = 3000
-"""Fewer than the descriptors of a box, of which some go to upstreams and files."""
+"""Below the file descriptor limit of a box; upstream connections and files need some as well."""
 BODY_TIMEOUT_S: Final = 20.0
-"""For a whole body, after its head."""
+"""Timeout for a complete request body, after its head."""
 LINGER_S: Final = 1.0
-"""Read on so long after refusing what was not read whole, so that no reset overtakes."""
+"""How long to keep reading after refusing a partly read request, as a reset would discard the
+refusal."""
 JSON_TYPE: Final = (b"content-type", b"application/json")
 
 
 class BadRequest(NamedTuple):
-    """Why a request could not be read, as a status and a sentence."""
+    """The status and reason with which an unreadable request is refused."""
 
     status: int
     reason: str
 
 
 class Reply:
-    """The answer to one request: `send` for a whole one, or `start`, `write`, `end`."""
+    """The response to a request: `send` for a complete one, or `start`, `write` and `end`."""
 
-    def __init__(self, sock: Any, conn: h11.Connection, close_after: Callable[[], bool]) -> None:
+    def __init__(self, sock: Any, conn: h11.Connection, should_close: Callable[[], bool]) -> None:
         self._sock = sock
         self._conn = conn
-        self._close_after = close_after
+        self._should_close = should_close
         self.status = 0
 
     @property
@@ -53,7 +54,7 @@
         return self.status != 0
 
     async def send(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         framed = tuple(item for item in headers if item[0] != b"content-length")
         length = (b"content-length", str(len(body)).encode())
         data = self._head(status, (*framed, length))
@@ -62,7 +63,7 @@
         await self._write(data)
 
     async def start(self, status: int, headers: Headers, first: bytes) -> None:
-        """Send the head and first bytes of an answer whose rest follows."""
+        """Send the head and first bytes of a response; the rest follows."""
         data = self._head(status, headers)
         await self._write(data + (self._conn.send(h11.Data(data=first)) or b""))
 
@@ -71,12 +72,12 @@
         await self._write(self._conn.send(h11.Data(data=data)) or b"")
 
     async def end(self) -> None:
-        """Say that the answer is whole; without it the caller sees that it broke off."""
+        """Mark the response as complete; without this the caller sees that it broke off."""
         await self._write(self._conn.send(h11.EndOfMessage()) or b"")
 
     def _head(self, status: int, headers: Headers) -> bytes:
         self.status = status
-        closing: Headers = ((b"connection", b"close"),) if self._close_after() else ()
+        closing: Headers = ((b"connection", b"close"),) if self._should_close() else ()
         head = h11.Response(status_code=status, headers=[*headers, *closing])
         return self._conn.send(head) or b""
 
@@ -88,11 +89,14 @@
 
 
 Serve = Callable[[CallerRequest, Reply, float], Awaitable[None]]
-"""Serves a request that had been read whole at that time on the steady clock."""
+"""Serves a request that was read completely at the given time on the steady clock."""
 
 
 class ServerHooks(NamedTuple):
-    """What connections need of the gateway: limits in force, whether to close, the work."""
+    """The callbacks of the gateway that connections use.
+
+    `is_closing` tells whether to close a connection after its response.
+    """
 
     limits: Callable[[], CallerLimits]
     is_closing: Callable[[], bool]
@@ -101,7 +105,7 @@
 
 
 class CallerConnections:
-    """Connections of callers, and those of them that wait for a request."""
+    """Counts of callers' connections, and the idle ones that wait for a request."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -109,28 +113,28 @@
         self.idle: set[Any] = set()
 
     def close_idle(self) -> None:
-        """End connections that wait for a request: their callers open others elsewhere."""
+        """Close idle connections; their callers reconnect to other gateways."""
         for sock in self.idle:
             sock._socket.shutdown(socket.SHUT_RDWR)
         self.idle.clear()
 
 
 async def accept_callers(sock: Any, callers: CallerConnections, hooks: ServerHooks) -> None:
-    """Accept connections until cancelled; each goes on in a daemon task of its own."""
+    """Accept connections until cancelled; each is served by its own daemon task."""
     async with sock:
         while True:
-            client = await next_client(sock, lambda: callers.count >= MAX_CONNECTIONS)
-            configure_socket(client)
-            await curio.spawn(_connection, client, callers, hooks, daemon=True)
+            client_sock = await next_client(sock, lambda: callers.count >= MAX_CONNECTIONS)
+            configure_socket(client_sock)
+            await curio.spawn(_serve_connection, client_sock, callers, hooks, daemon=True)
 
 
-async def _connection(sock: Any, callers: CallerConnections, hooks: ServerHooks) -> None:
+async def _serve_connection(sock: Any, callers: CallerConnections, hooks: ServerHooks) -> None:
     limits = hooks.limits()
     conn = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.header_bytes)
     callers.count += 1
     try:
         async with sock:
-            while await _one_request(sock, conn, callers, hooks):
+            while await _serve_one_request(sock, conn, callers, hooks):
                 conn.start_next_cycle()
     except (Gone, OSError, h11.LocalProtocolError) as exc:
         logger.debug("caller's connection ended: {!r}", exc)
@@ -139,26 +143,26 @@
         callers.idle.discard(sock)
 
 
-async def _one_request(
+async def _serve_one_request(
     sock: Any, conn: h11.Connection, callers: CallerConnections, hooks: ServerHooks
 ) -> bool:
-    """Serve one request; true if the connection may carry another."""
+    """Serve one request; true if the connection can be reused."""
     if not await _wait_for_request(sock, conn, callers, hooks):
         return False
     callers.busy += 1
     try:
-        got = await _read_request(sock, conn, hooks.limits())
-        if got is None:
+        request = await _read_request(sock, conn, hooks.limits())
+        if request is None:
             return False
         reply = Reply(sock, conn, hooks.is_closing)
-        if isinstance(got, BadRequest):
-            await _refuse(sock, conn, reply, got, hooks.refusal_body)
+        if isinstance(request, BadRequest):
+            await _refuse_bad_request(sock, conn, reply, request, hooks.refusal_body)
             return False
-        await _serve_while_there(sock, conn, got, reply, hooks.serve)
+        await _serve_while_connected(sock, conn, request, reply, hooks.serve)
     finally:
         callers.busy -= 1
-    done = conn.our_state is h11.DONE and conn.their_state is h11.DONE
-    return done and not hooks.is_closing()
+    is_complete = conn.our_state is h11.DONE and conn.their_state is h11.DONE
+    return is_complete and not hooks.is_closing()
 
 
 async def _wait_for_request(
@@ -181,7 +185,7 @@
 async def _read_request(
     sock: Any, conn: h11.Connection, limits: CallerLimits
 ) -> CallerRequest | BadRequest | None:
-    """Read a whole request; None where the caller left within it."""
+    """Read a complete request; None if the caller disconnects before its end."""
     try:
         head = await curio.timeout_after(limits.header_timeout_s, _read_head(sock, conn))
         if head is None:
@@ -219,8 +223,8 @@
         event = conn.next_event()
         if event is h11.NEED_DATA:
             if conn.they_are_waiting_for_100_continue:
-                go_on = h11.InformationalResponse(status_code=100, headers=[])
-                await sock.sendall(conn.send(go_on) or b"")
+                informational = h11.InformationalResponse(status_code=100, headers=[])
+                await sock.sendall(conn.send(informational) or b"")
             conn.receive_data(await sock.recv(READ_SIZE))
         elif isinstance(event, h11.Data):
             body += event.data
@@ -232,37 +236,39 @@
             return None
 
 
-async def _refuse(
+async def _refuse_bad_request(
     sock: Any,
     conn: h11.Connection,
     reply: Reply,
-    bad: BadRequest,
-    body: Callable[[BadRequest], bytes],
+    bad_request: BadRequest,
+    refusal_body: Callable[[BadRequest], bytes],
 ) -> None:
-    """Answer what could not be read, then read on so that the answer arrives."""
+    """Refuse an unreadable request, then keep reading so that the refusal arrives."""
     if conn.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
         return
-    await reply.send(bad.status, (JSON_TYPE, (b"connection", b"close")), body(bad))
+    await reply.send(
+        bad_request.status, (JSON_TYPE, (b"connection", b"close")), refusal_body(bad_request)
+    )
     await sock.shutdown(socket.SHUT_WR)
     async with curio.ignore_after(LINGER_S):
         while await sock.recv(READ_SIZE):
             pass
 
 
-async def _serve_while_there(
+async def _serve_while_connected(
     sock: Any, conn: h11.Connection, req: CallerRequest, reply: Reply, serve: Serve
 ) -> None:
-    """Serve a request; cancel the work where the caller closes its connection."""
+    """Serve a request; cancel it if the caller closes the connection."""
     read_at = clock.now()
     async with curio.TaskGroup(wait=any) as group:
-        work = await group.spawn(_served, serve, req, reply, read_at)
-        await group.spawn(_until_gone, sock, conn)
-    if group.completed is not work or not work.result:
+        serving = await group.spawn(_run_serve, serve, req, reply, read_at)
+        await group.spawn(_wait_for_disconnect, sock, conn)
+    if group.completed is not serving or not serving.result:
         raise Gone
 
 
-async def _served(serve: Serve, req: CallerRequest, reply: Reply, read_at: float) -> bool:
-    """Serve a request; false where the connection has to be closed."""
+async def _run_serve(serve: Serve, req: CallerRequest, reply: Reply, read_at: float) -> bool:
+    """Serve a request; false if the connection must be closed."""
     try:
         await serve(req, reply, read_at)
     except Gone:
@@ -273,8 +279,8 @@
     return True
 
 
-async def _until_gone(sock: Any, conn: h11.Connection) -> None:
-    """Keep what the caller sends ahead; ends when it closes."""
+async def _wait_for_disconnect(sock: Any, conn: h11.Connection) -> None:
+    """Buffer bytes that the caller sends early; returns when it closes the connection."""
     while True:
         try:
             data = await sock.recv(READ_SIZE)
