--- a/ramppost/gateway/aftermath.py
+++ b/ramppost/gateway/aftermath.py
@@ -1,7 +1,7 @@
-"""What is done where an answer has broken off: find out whether its upstream has ended.
+"""Handles a response that has broken off: finds out whether its upstream has ended.
 
-Then the attempt does not count against the request's own, the upstream is left out of choices, and
-it is noted that the request was there (`ramppost.gateway.fatal`).
+If so, the attempt does not count against the limit of the request, the upstream is excluded from
+selection, and the request is recorded as present at the end (`ramppost.gateway.fatal`).
 """
 
 from __future__ import annotations
@@ -20,59 +20,64 @@
 from ramppost.gateway.state import Gateway
 from ramppost.policy.fatal import JUST_BEGUN
 
-LOOK_AGAIN_S: Final = 0.1
-"""A process that ends closes its connections one by one, and may take a new one meanwhile."""
+RECHECK_DELAY_S: Final = 0.1
+"""A process that ends closes its connections one by one, and may accept a new one meanwhile."""
 
 
 async def handle_broken_response(
-    gw: Gateway, job: Job, upstream: Upstream, got: Broken, sign: int
+    gw: Gateway, job: Job, upstream: Upstream, broken: Broken, evidence: int
 ) -> None:
-    """An answer has broken off; `sign` tells how much speaks against its request, should the
-    upstream have ended."""
-    if not got.by_peer:
+    """Check the upstream of a response that has broken off.
+
+    `evidence` is the level of evidence against its request in case the upstream has ended.
+    """
+    if not broken.by_peer:
         return
-    if not await _is_there(gw, job, upstream, sign):
+    if not await _is_alive(gw, job, upstream, evidence):
         return
-    if sign == JUST_BEGUN:
-        # It may be what ends its upstream: sent on at once, it would end the next one.
-        await _look_again(gw, job, upstream, sign)
+    if evidence == JUST_BEGUN:
+        # The request may be what ended the upstream, and an immediate retry would end the next one.
+        await _recheck(gw, job, upstream, evidence)
     else:
-        await curio.spawn(_look_again, gw, job, upstream, sign, daemon=True)
+        await curio.spawn(_recheck, gw, job, upstream, evidence, daemon=True)
+
 
+async def handle_unframed_end(gw: Gateway, job: Job, running: Running, evidence: int) -> None:
+    """Check the upstream of a forwarded response that ended with the close of its connection.
 
-async def handle_unframed_end(gw: Gateway, job: Job, running: Running, sign: int) -> None:
-    """An answer that only the close of its connection ended was passed on.  It clears its request
-    where its upstream is still there, for an end would have closed the connection, too."""
-    if await _look_again(gw, job, running.chosen.upstream, sign):
+    The response clears its request only if the upstream is still alive, because the end of the
+    upstream would have closed the connection as well.
+    """
+    if await _recheck(gw, job, running.chosen.upstream, evidence):
         gw.fatal.record_answer(job.fingerprint, running.head.status)
 
 
-async def _look_again(gw: Gateway, job: Job, upstream: Upstream, sign: int) -> bool:
-    await curio.sleep(LOOK_AGAIN_S)
-    return await _is_there(gw, job, upstream, sign)
+async def _recheck(gw: Gateway, job: Job, upstream: Upstream, evidence: int) -> bool:
+    await curio.sleep(RECHECK_DELAY_S)
+    return await _is_alive(gw, job, upstream, evidence)
 
 
-async def _is_there(gw: Gateway, job: Job, upstream: Upstream, sign: int) -> bool:
-    """Whether an upstream still takes connections; what its end means is noted."""
-    fate = await gw.endings.probe(upstream)
-    if fate != "alive":
-        await _note_end(gw, job, upstream, fate, sign)
-    return fate == "alive"
+async def _is_alive(gw: Gateway, job: Job, upstream: Upstream, evidence: int) -> bool:
+    """Whether an upstream still accepts connections; records its end if it does not."""
+    result = await gw.endings.probe(upstream)
+    if result != "alive":
+        await _record_end(gw, job, upstream, result, evidence)
+    return result == "alive"
 
 
-async def _note_end(
-    gw: Gateway, job: Job, upstream: Upstream, fate: ProbeResult, sign: int
+async def _record_end(
+    gw: Gateway, job: Job, upstream: Upstream, result: ProbeResult, evidence: int
 ) -> None:
     logger.info(
         "upstream ended under a request",
         request=job.req.attempt_id,
         fingerprint=job.fingerprint,
         upstream=upstream.id,
-        fate=fate,
-        sign=sign,
+        fate=result,
+        sign=evidence,
     )
     job.upstream_ends += 1
-    if fate == "ended":
-        # One that is silent may be back at any moment: only its way may be cut.
+    if result == "ended":
+        # A silent upstream may return at any moment, as only the network path to it may be down.
         gw.members.mark_ended(upstream.key, clock.now())
-    await gw.fatal.record_end(upstream.key, job.fingerprint, sign, gone=fate == "ended")
+    await gw.fatal.record_end(upstream.key, job.fingerprint, evidence, gone=result == "ended")
