--- a/ramppost/policy/routing.py
+++ b/ramppost/policy/routing.py
@@ -160,7 +160,7 @@
 
 @functools.lru_cache(maxsize=HASH_CACHE_SIZE)
 def hash_fraction(*parts: str) -> float:
-    """Hash the parts to a number in [0, 1)."""
+    """Hash the parts to a number in [0, 1) that is the same in every process."""
     digest = hashlib.blake2b("\0".join(parts).encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") / 2**64
 
