--- a/ramppost/policy/limits.py
+++ b/ramppost/policy/limits.py
@@ -36,7 +36,7 @@
         self.rate = rate
         self.burst = burst
         self.level = burst
-        self._at = now
+        self._refilled_at = now
 
     def wait_s(self, now: float) -> float:
         """Seconds until a request is admitted; 0 if it is admitted now."""
@@ -53,8 +53,8 @@
         self.level -= tokens
 
     def _refill(self, now: float) -> None:
-        self.level = min(self.burst, self.level + (now - self._at) * self.rate)
-        self._at = now
+        self.level = min(self.burst, self.level + (now - self._refilled_at) * self.rate)
+        self._refilled_at = now
 
 
 class RetryBudget:
@@ -67,20 +67,20 @@
     def __init__(self, share: float = RETRY_SHARE, burst: float = RETRY_BURST) -> None:
         self.share = share
         self.burst = burst
-        self.left = burst
+        self.balance = burst
         self.tries = 0
         self.retries = 0
 
     def record_try(self) -> None:
         """Record the first try of a request."""
         self.tries += 1
-        self.left = min(self.burst, self.left + self.share)
+        self.balance = min(self.burst, self.balance + self.share)
 
     def take(self) -> bool:
         """Take one retry from the budget; false if the budget is exhausted."""
-        if self.left < 1:
+        if self.balance < 1:
             return False
-        self.left -= 1
+        self.balance -= 1
         self.retries += 1
         return True
 
