--- a/ramppost/gateway/aftermath.py
+++ b/ramppost/gateway/aftermath.py
@@ -59,7 +59,7 @@
 
 async def _is_alive(gw: Gateway, job: Job, upstream: Upstream, evidence: int) -> bool:
     """Whether an upstream still accepts connections; records its end if it does not."""
-    result = await gw.endings.probe(upstream)
+    result = await gw.upstream_probes.probe(upstream)
     if result != "alive":
         await _record_end(gw, job, upstream, result, evidence)
     return result == "alive"
--- a/ramppost/gateway/attempt.py
+++ b/ramppost/gateway/attempt.py
@@ -118,7 +118,7 @@
         return _compose_request(gw, job, chosen, model, urgency)
 
     sent_at = clock.now()
-    exchange = await open_exchange(gw.links, chosen.upstream, compose)
+    exchange = await open_exchange(gw.connections, chosen.upstream, compose)
     if isinstance(exchange, NotSent):
         return exchange
     job.attempts += 1
@@ -194,7 +194,9 @@
             head: AnswerHead | Broken = await curio.timeout_after(timeout_s, exchange.read_head())
             return head
         except curio.TaskTimeout:
-            last_received_at = gw.links.last_received_at.get(chosen.upstream.key, float("-inf"))
+            last_received_at = gw.connections.last_received_at.get(
+                chosen.upstream.key, float("-inf")
+            )
             has_budget = gw.retry_budget_of(chosen.service.name).available(clock.now()) >= 1
             if last_received_at < silent_since and has_budget and chosen.candidate_count > 1:
                 return Broken(f"silent for {timeout_s:.2f} s")
--- a/ramppost/gateway/follow.py
+++ b/ramppost/gateway/follow.py
@@ -121,13 +121,13 @@
         self._change_log_start = 0
 
     def response_started(self) -> None:
-        """The store has begun to send its response."""
+        """Record that the store has begun to send its response."""
         self.awaiting_response = True
 
     async def apply_snapshot(
         self, snapshot: Snapshot, confirmed_at: float, source: str = ""
     ) -> None:
-        """Apply a full snapshot of the state at time `at` or later."""
+        """Apply a full snapshot of the state at time `confirmed_at` or later."""
         if self.revision is not None and snapshot.revision < self.revision:
             return
         objects = [self._newest_known(obj) for obj in snapshot.objects]
@@ -146,7 +146,7 @@
     async def apply_changes(
         self, since: int, changes: Changes, confirmed_at: float, source: str = ""
     ) -> None:
-        """Apply all changes between revision `since` and time `at`."""
+        """Apply all changes between revision `since` and time `confirmed_at`."""
         if self.revision != since or changes.revision < since:
             return
         for change in changes.changes:
--- a/ramppost/gateway/forwarding.py
+++ b/ramppost/gateway/forwarding.py
@@ -129,5 +129,5 @@
             return chunk
         except curio.TaskTimeout:
             upstream_key = running.chosen.upstream.key
-            if gw.links.last_received_at.get(upstream_key, float("-inf")) < silent_since:
+            if gw.connections.last_received_at.get(upstream_key, float("-inf")) < silent_since:
                 return Broken(f"silent for {timeout_s:.1f} s within its stream")
--- a/ramppost/gateway/joining.py
+++ b/ramppost/gateway/joining.py
@@ -1,7 +1,7 @@
 """Joins the fleet of gateways at startup and gets the store's state from them.
 
 A starting gateway lists the others with a read that may be seconds old, which is good enough to
-know whom to poll.  If its own entry is in the list and correct, it writes nothing.  Then it waits
+know whom to poll.  If the list contains its own, unchanged entry, it writes nothing.  Then it waits
 briefly for a feed from the others before it queries the store itself: of 2,125 store calls that a
 fleet of 68 made in 36 s of a calm day, 1,461 fell into its first seven seconds, and as many again
 would follow whenever all gateways were killed.
@@ -42,7 +42,7 @@
 """How long a fleet's first start takes: its boxes start within 0.3 s of each other, and their
 processes need half a second."""
 MAX_LISTS: Final = 3
-"""Most lists read until one contains the own entry and so is at least as new as that."""
+"""Maximum number of lists read until one contains the own entry, and so is as new as that."""
 LIST_RETRY_S: Final = 0.2
 
 
--- a/ramppost/gateway/main.py
+++ b/ramppost/gateway/main.py
@@ -84,7 +84,7 @@
     await curio.spawn(sync_document, gw, daemon=True)
     metrics_socket = listen(cfg["ip"], cfg["metrics_port"])
     await curio.spawn(serve_http, metrics_socket, _metrics_handler(gw), daemon=True)
-    doorway = ServerHooks(
+    hooks = ServerHooks(
         limits=lambda: gw.limits,
         is_closing=lambda: gw.draining,
         serve=lambda req, reply, read_at: serve(gw, req, reply, read_at),
@@ -96,7 +96,7 @@
         if early_socket is not None
         else listen(*parse_address(cfg["listen"]))
     )
-    await curio.spawn(accept_callers, caller_socket, gw.callers, doorway, daemon=True)
+    await curio.spawn(accept_callers, caller_socket, gw.callers, hooks, daemon=True)
     await curio.spawn(_poll_settings, gw, path, daemon=True)
     while (signal_number := await signals.wait()) == signal.SIGHUP:
         reload_settings(gw, path)
@@ -142,7 +142,7 @@
 async def _stop(gw: Gateway, signal_number: int) -> None:
     """Run a planned stop.
 
-    The gateway reports that it is not ready at once, but accepts new requests until the callers
+    The gateway reports at once that it is not ready, but accepts new requests until the callers
     have moved to other gateways, and does not interrupt requests under way.
     """
     started_at = clock.now()
@@ -164,7 +164,7 @@
 def _datagram_handler(gw: Gateway) -> DatagramHandler:
     """The handler of datagrams from other gateways."""
 
-    async def take(message: PeerDatagram, addr: Address) -> None:
+    async def handle(message: PeerDatagram, addr: Address) -> None:
         if "leaving" in message:
             handle_leaving_note(gw, message["leaving"])
         elif "ended" in message or "harmless" in message:
@@ -174,7 +174,7 @@
         else:
             await gw.backlogs.handle_datagram(message, addr)
 
-    return take
+    return handle
 
 
 def _bad_request_body(error: BadRequest) -> bytes:
@@ -196,7 +196,7 @@
         gw.metrics.gauges["ramppost_inner_bytes_read"] = gw.store.pool.bytes_in
         gw.metrics.gauges["ramppost_config_revision_known"] = gw.config_revision_known
         gw.metrics.gauges["ramppost_config_revision"] = gw.table.revision if gw.table else 0
-        gw.metrics.gauges["ramppost_upstream_connections_opened"] = gw.links.opened
+        gw.metrics.gauges["ramppost_upstream_connections_opened"] = gw.connections.opened
         gw.metrics.gauges["ramppost_log_lines_dropped"] = logs.dropped()
         await reply.send(200, gw.metrics.text(), METRICS_CONTENT_TYPE)
 
--- a/ramppost/gateway/rollout_duty.py
+++ b/ramppost/gateway/rollout_duty.py
@@ -80,7 +80,7 @@
 def _is_slow(gw: Gateway, running: Running, passed: Forwarded, rollout: Rollout | None) -> bool:
     """Whether an answer took several times what the version in service usually takes."""
     service = running.chosen.service.name
-    pace = gw.paces.setdefault((service, running.model), TimingBaseline())
+    pace = gw.timing_baselines.setdefault((service, running.model), TimingBaseline())
     gap_s = (passed.last_s - passed.first_s) / max(1, passed.events)
     timing = Timing(passed.first_s, gap_s)
     on_trial = (
--- a/ramppost/gateway/state.py
+++ b/ramppost/gateway/state.py
@@ -72,7 +72,7 @@
         self.members = Members()
         self.members_listed = False
         self.evacuated_halls: dict[str, float] = {}
-        """Evacuated data halls and when this gateway learned of it (steady clock)."""
+        """Evacuated data halls, with the time when this gateway learned of it (steady clock)."""
         self.evacuations_known = cfg["timing"].get("evacuate_ms", 0) <= 0
         """Whether evacuations have been listed; always true if the settings disable them."""
         self.unreadable = UnreadableEntries()
@@ -81,14 +81,14 @@
         self.freshness = Freshness(_withdrawal_bound_s(cfg), _serves_unconfirmed(cfg))
         self.store_outage = StoreOutage()
         self.store = StoreClient(cfg["store"]["addr"], Pool(cfg["ip"]))
-        self.links = ConnectionPool(cfg["ip"])
-        self.endings = UpstreamProbes(self.links)
+        self.connections = ConnectionPool(cfg["ip"])
+        self.upstream_probes = UpstreamProbes(self.connections)
         self.loads = Loads()
         self.prefill_rates = PrefillRates()
         self.pressure = Pressure()
         self.suspicions: dict[str, UpstreamHealth] = {}
         self.retry_budgets: dict[str, WindowBudget] = {}
-        self.paces: dict[tuple[str, str], TimingBaseline] = {}
+        self.timing_baselines: dict[tuple[str, str], TimingBaseline] = {}
         self.rollouts = Rollouts(cfg["timing"]["session_s"])
         self.callers = CallerConnections()
         self.metrics = Metrics()
@@ -169,10 +169,10 @@
         if service is not None:
             self.warmups.assume_warming_up(upstream, service.warmup_s, now)
 
-    def forget(self, upstream_key: str) -> None:
+    def forget_upstream(self, upstream_key: str) -> None:
         """Drop the state kept for an upstream that has left or restarted."""
-        self.links.drop_upstream(upstream_key)
-        self.endings.forget(upstream_key)
+        self.connections.drop_upstream(upstream_key)
+        self.upstream_probes.forget(upstream_key)
         self.backlogs.forget(upstream_key)
         self.loads.forget(upstream_key)
         self.warmups.forget(upstream_key)
--- a/ramppost/gateway/watchers.py
+++ b/ramppost/gateway/watchers.py
@@ -206,14 +206,14 @@
         apply_config(gw, change.obj)
 
 
-def _log_config(old: RoutingTable | None, new: RoutingTable) -> None:
+def _log_config(previous: RoutingTable | None, current: RoutingTable) -> None:
     logger.info(
         "configuration in force",
-        version=new.version,
-        before=old.version if old else None,
-        revision=new.revision,
-        routes=sum(len(routes) for routes in new.routes.values()),
-        keys=len(new.keys) if new.keys is not None else None,
+        version=current.version,
+        before=previous.version if previous else None,
+        revision=current.revision,
+        routes=sum(len(routes) for routes in current.routes.values()),
+        keys=len(current.keys) if current.keys is not None else None,
     )
 
 
@@ -240,7 +240,7 @@
 def _forget_removed(gw: Gateway) -> None:
     """Drop the state kept for upstreams that have left or restarted."""
     for removed in gw.members.take_ended_incarnations():
-        gw.forget(removed.key)
+        gw.forget_upstream(removed.key)
 
 
 def apply_upstream_change(gw: Gateway, change: Change) -> None:
@@ -262,7 +262,7 @@
             born=decoded.started_ms,
         )
     if decoded is not None and decoded.draining:
-        gw.links.drop_upstream(decoded.key)
+        gw.connections.drop_upstream(decoded.key)
     _forget_removed(gw)
 
 
@@ -323,4 +323,4 @@
         for dropped in gw.members.drop_expired(now):
             logger.info("upstream dropped: its entry did not come back", upstream=dropped.id)
         _forget_removed(gw)
-        gw.links.close_expired(now)
+        gw.connections.close_expired(now)
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -209,14 +209,14 @@
     before = gw.members.usable("lm", clock.now())[0]
     gw.suspicion_of(before.key).record_outcome(True, clock.now())
     gw.loads.record_report(before.key, 20, 7, clock.now())
-    gw.links.last_received_at[before.key] = clock.now()
+    gw.connections.last_received_at[before.key] = clock.now()
     apply_upstream_change(gw, Change(entry(revision=2, born=2000), False))
     after = gw.members.usable("lm", clock.now())[0]
     assert (after.id, after.key != before.key) == (before.id, True)
     assert gw.suspicion_of(after.key).failure_rate(clock.now()) == 0.0
     assert gw.loads.last_report(after.key).waiting == 0
     assert before.key not in gw.suspicions
-    assert before.key not in gw.links.last_received_at
+    assert before.key not in gw.connections.last_received_at
 
 
 @pytest.mark.parametrize("born", [999, 1001])
