--- a/ramppost/gateway/pick.py
+++ b/ramppost/gateway/pick.py
@@ -106,26 +106,33 @@
     prompt = job.req.prompt
     if prompt is None or len(suitable) <= MAX_QUERIED_ENGINES:
         return suitable
-    listed = gw.pools.candidates(service_name, suitable)
+    candidate_list = gw.pools.candidates(service_name, suitable)
     query = _backlog_query(gw, job, model, prompt)
     work = PrefillWork(model, prompt.parts, prompt.tokens_in)
-    context = _placement_context(gw, listed, work)
+    context = _placement_context(gw, candidate_list, work)
     views = [
         _engine_view(
-            gw, listed.by_key[key], gw.backlogs.local_estimate(key, query, now), prompt, now
+            gw, candidate_list.by_key[key], gw.backlogs.local_estimate(key, query, now), prompt, now
         )
-        for key in select_candidates(listed.pool, context.hall, context.home, gw.rng)
+        for key in select_candidates(candidate_list.pool, context.hall, context.home, gw.rng)
     ]
     best = [
         placement.id
         for placement in rank_engines(views, work, gw.prefill_rates, context, now, gw.rng)
     ]
-    return [listed.by_key[key] for key in {context.home, *best[: MAX_QUERIED_ENGINES - 1]} - {""}]
+    return [
+        candidate_list.by_key[key]
+        for key in {context.home, *best[: MAX_QUERIED_ENGINES - 1]} - {""}
+    ]
 
 
-def _placement_context(gw: Gateway, listed: Candidates, work: PrefillWork) -> PlacementContext:
+def _placement_context(
+    gw: Gateway, candidate_list: Candidates, work: PrefillWork
+) -> PlacementContext:
     hall = gw.cfg["hall"]
-    return PlacementContext(hall, home_engine(listed.pool, work, hall), listed.pool.long_prompt_ids)
+    return PlacementContext(
+        hall, home_engine(candidate_list.pool, work, hall), candidate_list.pool.long_prompt_ids
+    )
 
 
 def _is_recent(
@@ -235,18 +242,20 @@
     now: float,
 ) -> Selection:
     work = PrefillWork(model, prompt.parts, prompt.tokens_in, _transfer_bytes(job, service, prompt))
-    listed = gw.pools.candidates(service.name, suitable)
-    context = _placement_context(gw, listed, work)
+    candidate_list = gw.pools.candidates(service.name, suitable)
+    context = _placement_context(gw, candidate_list, work)
     backlogs = _candidate_backlogs(
-        gw, job, listed, context, _backlog_query(gw, job, model, prompt), now
+        gw, job, candidate_list, context, _backlog_query(gw, job, model, prompt), now
     )
-    engines = [_engine_view(gw, listed.by_key[k], backlogs[k], prompt, now) for k in backlogs]
+    engines = [
+        _engine_view(gw, candidate_list.by_key[k], backlogs[k], prompt, now) for k in backlogs
+    ]
     best = rank_engines(engines, work, gw.prefill_rates, context, now, gw.rng)[0]
     cached_tokens = leading_tokens(prompt.parts, backlogs[best.id].cached_parts)
     return _selection(
         gw,
         service,
-        listed.by_key[best.id],
+        candidate_list.by_key[best.id],
         len(suitable),
         best,
         backlogs[best.id],
@@ -258,7 +267,7 @@
 def _candidate_backlogs(
     gw: Gateway,
     job: Job,
-    listed: Candidates,
+    candidate_list: Candidates,
     context: PlacementContext,
     query: BacklogQuery,
     now: float,
@@ -267,11 +276,13 @@
     snapshot = job.backlog_snapshot
     if _is_recent(snapshot, query.model, now):
         queried = {
-            key: queried for key, queried in snapshot.backlogs.items() if key in listed.by_key
+            key: queried
+            for key, queried in snapshot.backlogs.items()
+            if key in candidate_list.by_key
         }
         if queried:
             return queried
-    considered = select_candidates(listed.pool, context.hall, context.home, gw.rng)
+    considered = select_candidates(candidate_list.pool, context.hall, context.home, gw.rng)
     return {key: gw.backlogs.local_estimate(key, query, now) for key in considered}
 
 
