--- a/ramppost/gateway/backlogs.py
+++ b/ramppost/gateway/backlogs.py
@@ -1,14 +1,14 @@
-"""Backlogs of engines: tells their keepers what this gateway sends, and asks before it sends.
+"""Shares the prompt backlogs of engines between gateways.
 
-Each engine's backlog is kept by a gateway in its data hall (`ramppost.policy.keepers`).  Before
-a prompt is placed, the keepers of its candidates are asked what these have ahead of them;
-what is sent, and its first token, is told to the keeper of the engine that was chosen.  All of
-it goes in datagrams (`ramppost.gateway.datagrams`): a lost one costs a worse prediction and
-nothing else.  Whoever does not answer in time is left out for a while, and the next in rank is
-told and asked.
+The backlog of each engine is kept by a gateway in the engine's data hall, its keeper
+(`ramppost.policy.keepers`).  Before placing a prompt, a gateway queries the keepers of the
+candidate engines for the work queued there.  It notifies the keeper of the chosen engine when it
+sends the prompt and when the first token arrives.  All messages are datagrams
+(`ramppost.gateway.datagrams`); losing one only makes a prediction less accurate.  A keeper that
+does not answer in time is excluded for a while, and the next gateway in rank takes its place.
 
-A gateway notes what it sends itself in its own backlogs, too, so without any keeper it still
-knows its own prompts.
+A gateway also records its own prompts in its local backlogs, so it still knows those if no keeper
+is available.
 """
 
 from __future__ import annotations
@@ -31,22 +31,25 @@
 from ramppost.schema.messages import BacklogAsk, BacklogOver, BacklogSent, BacklogView, PeerDatagram
 
 ASK_TIMEOUT_S: Final = 0.05
-"""A datagram waits behind a long prompt on a link of 5 Mbit/s for 30 ms; this is a fortieth of
-the tightest objective of a stream."""
+"""A datagram may queue for 30 ms behind a long prompt on a 5 Mbit/s link.  This timeout is a
+fortieth of the tightest objective of a stream."""
 MAX_MISSED_REPLIES: Final = 2
-"""Questions in a row that a keeper may leave unanswered: links lose a datagram now and then."""
+"""Consecutive unanswered queries after which a keeper is excluded.  One miss is not enough, because
+links occasionally lose a datagram."""
 KEEPER_EXCLUSION_S: Final = 2.0
-"""How long a keeper that did not answer is left out."""
+"""How long a keeper that did not answer is excluded."""
 MAX_ENGINES: Final = 4096
-"""Backlogs that are kept: more than a fleet has engines, should ids be made up."""
+"""Maximum number of backlogs kept.  It exceeds the number of engines in a fleet and bounds memory
+if engine ids are made up."""
 
 
 class BacklogEstimate(NamedTuple):
-    """What is known of an engine's backlog: by the word of all gateways (`complete`), where its
-    keeper has answered or is this one, or by own prompts alone.
+    """Estimated work ahead of a prompt at an engine.
 
-    `ahead_s` is the reading that goes before a prompt, seconds, `kept` how many of its first
-    parts need not be read.
+    `ahead_s` is the prefill time of the prompts ahead in seconds, `cached_parts` the number of
+    leading parts of the prompt that are cached there.  `complete` tells whether the estimate covers
+    the prompts of all gateways, because the engine's keeper answered or is this gateway; otherwise
+    it covers only this gateway's own prompts.
     """
 
     ahead_s: float
@@ -58,7 +61,7 @@
 
 
 class BacklogQuery(NamedTuple):
-    """A prompt that is to be placed: its level, the model that reads it, names of its parts."""
+    """A prompt to be placed: its priority level, the model to run it and the names of its parts."""
 
     level: int
     model: str
@@ -66,7 +69,7 @@
 
 
 class _PendingQuery:
-    """A question under way: keepers that have not answered, and what the others told."""
+    """A query in progress: engines whose keepers have not answered, by query id, and estimates."""
 
     def __init__(self, engines: dict[int, list[str]], model: str) -> None:
         self.engines = engines
@@ -76,7 +79,7 @@
 
 
 class Backlogs:
-    """The backlogs that this gateway keeps for all, and those of its own prompts."""
+    """The backlogs that this gateway keeps for the fleet, and those of its own prompts."""
 
     def __init__(
         self,
@@ -94,111 +97,114 @@
         self._backlogs: dict[str, Backlog] = {}
         self._silent_until: dict[str, float] = {}
         self._missed_replies: dict[str, int] = {}
-        """Questions that keepers have left unanswered in a row."""
+        """Consecutive unanswered queries, by keeper."""
         self._keepers: dict[str, str] = {}
-        """Keepers by engine, for the gateways that are known and silent in `_ranked_for`."""
+        """Cached keepers by engine, for the gateway list and exclusions in `_keepers_valid_for`."""
         self._keepers_valid_for: tuple[int, frozenset[str]] = (-1, frozenset())
         self._pending: dict[int, _PendingQuery] = {}
         self._ids = itertools.count(1)
 
-    # --- what this gateway sends
+    # --- queries and notifications by this gateway
 
-    async def ask(
-        self, engines: list[Upstream], question: BacklogQuery
-    ) -> dict[str, BacklogEstimate]:
-        """What is known of engines for a prompt that is to be placed on one of them."""
+    async def ask(self, engines: list[Upstream], query: BacklogQuery) -> dict[str, BacklogEstimate]:
+        """Estimate the backlogs of candidate engines, with the answers of their keepers."""
         now = clock.now()
-        told = {engine.key: self.local_estimate(engine.key, question, now) for engine in engines}
+        estimates = {engine.key: self.local_estimate(engine.key, query, now) for engine in engines}
         by_keeper: dict[str, list[str]] = {}
         for engine in engines:
             keeper = self.keeper(engine, now)
             if keeper == self.own:
-                told[engine.key] = told[engine.key]._replace(complete=True)
+                estimates[engine.key] = estimates[engine.key]._replace(complete=True)
             elif keeper:
                 by_keeper.setdefault(keeper, []).append(engine.key)
         if not by_keeper:
-            return told
-        for name, view in (await self._ask_keepers(by_keeper, question)).items():
-            own = told[name]
-            told[name] = BacklogEstimate(
-                max(own.ahead_s, view.ahead_s), max(own.cached_parts, view.cached_parts), True
+            return estimates
+        for name, reported in (await self._ask_keepers(by_keeper, query)).items():
+            own = estimates[name]
+            estimates[name] = BacklogEstimate(
+                max(own.ahead_s, reported.ahead_s),
+                max(own.cached_parts, reported.cached_parts),
+                True,
             )
-        return told
+        return estimates
 
-    def local_estimate(self, engine: str, question: BacklogQuery, now: float) -> BacklogEstimate:
-        """What the backlog here tells of an engine, without asking anybody."""
+    def local_estimate(self, engine: str, query: BacklogQuery, now: float) -> BacklogEstimate:
+        """Estimate an engine's backlog from local data only."""
         backlog = self._backlogs.get(engine)
         if backlog is None:
             return EMPTY_ESTIMATE
-        kept = backlog.cached_parts(question.model, question.parts, now)
-        return BacklogEstimate(backlog.ahead_s(question.level, now), kept, False)
+        cached = backlog.cached_parts(query.model, query.parts, now)
+        return BacklogEstimate(backlog.ahead_s(query.level, now), cached, False)
 
-    def record_sent(self, engine: Upstream, key: str, reading: PendingPrompt) -> None:
-        """A prompt is on its way to an engine."""
-        self._backlog(engine.key).add(key, reading)
+    def record_sent(self, engine: Upstream, key: str, prompt: PendingPrompt) -> None:
+        """Record a prompt that is being sent to an engine, and notify the keeper."""
+        self._backlog(engine.key).add(key, prompt)
         note = BacklogSent(
             key=key,
             engine=engine.key,
-            read_ms=round(reading.read_s * 1000),
-            level=reading.level,
-            model=reading.model,
-            parts=list(reading.parts),
+            read_ms=round(prompt.read_s * 1000),
+            level=prompt.level,
+            model=prompt.model,
+            parts=list(prompt.parts),
         )
         self._notify_keeper(engine, PeerDatagram(sent=note))
 
     def record_done(self, engine: Upstream, key: str, began: bool) -> None:
-        """A prompt has its first token, or will never have one there."""
+        """Record that a prompt has its first token (`began`) or will not get one at this engine."""
         self._apply_done(engine.key, key, began)
         note = BacklogOver(key=key, engine=engine.key, began=began)
         self._notify_keeper(engine, PeerDatagram(over=note))
 
     def forget(self, engine: str) -> None:
-        """An engine has left."""
+        """Drop the state of an engine that has left or restarted."""
         self._backlogs.pop(engine, None)
         self._keepers.pop(engine, None)
 
     # --- keepers
 
     def keeper(self, engine: Upstream, now: float) -> str:
-        """Who keeps an engine's backlog; ranked again only when gateways come or fall silent."""
+        """The gateway that keeps an engine's backlog, or "" if there is none.
+
+        Keepers are recomputed only when the list of gateways or the set of excluded ones changes.
+        """
         silent = frozenset(name for name, until in self._silent_until.items() if until > now)
-        known = (self._peers.changes, silent)
-        if known != self._keepers_valid_for:
-            self._keepers_valid_for = known
+        inputs = (self._peers.changes, silent)
+        if inputs != self._keepers_valid_for:
+            self._keepers_valid_for = inputs
             self._keepers.clear()
-        found = self._keepers.get(engine.key)
-        if found is None:
-            found = keeper_of(engine.key, engine.hall, self._peers.halls, silent)
-            self._keepers[engine.key] = found
-        return found
+        keeper = self._keepers.get(engine.key)
+        if keeper is None:
+            keeper = keeper_of(engine.key, engine.hall, self._peers.halls, silent)
+            self._keepers[engine.key] = keeper
+        return keeper
 
     async def _ask_keepers(
-        self, by_keeper: dict[str, list[str]], question: BacklogQuery
+        self, by_keeper: dict[str, list[str]], query: BacklogQuery
     ) -> dict[str, BacklogEstimate]:
         ids = {next(self._ids): keeper for keeper in by_keeper}
-        engines = {number: by_keeper[keeper] for number, keeper in ids.items()}
-        asked = _PendingQuery(engines, question.model)
-        for number, keeper in ids.items():
-            self._pending[number] = asked
+        engines = {query_id: by_keeper[keeper] for query_id, keeper in ids.items()}
+        pending = _PendingQuery(engines, query.model)
+        for query_id, keeper in ids.items():
+            self._pending[query_id] = pending
             ask = BacklogAsk(
-                id=number,
+                id=query_id,
                 engines=by_keeper[keeper],
-                level=question.level,
-                model=question.model,
-                parts=list(question.parts),
+                level=query.level,
+                model=query.model,
+                parts=list(query.parts),
             )
             self._datagrams.send(parse_address(self._peers.addrs[keeper]), PeerDatagram(ask=ask))
         try:
-            await curio.ignore_after(ASK_TIMEOUT_S, asked.all_answered.wait)
+            await curio.ignore_after(ASK_TIMEOUT_S, pending.all_answered.wait)
         finally:
-            for number in ids:
-                self._pending.pop(number, None)
-        for number, keeper in ids.items():
-            self._record_reply(keeper, number not in asked.engines)
-        return asked.estimates
+            for query_id in ids:
+                self._pending.pop(query_id, None)
+        for query_id, keeper in ids.items():
+            self._record_reply(keeper, query_id not in pending.engines)
+        return pending.estimates
 
     def _record_reply(self, keeper: str, answered: bool) -> None:
-        """Whether a keeper has answered a question in time; one that goes on not to is left out."""
+        """Record whether a keeper answered in time; exclude it after repeated misses."""
         if answered:
             self._missed_replies.pop(keeper, None)
             return
@@ -216,10 +222,10 @@
         if keeper not in ("", self.own):
             self._datagrams.send(parse_address(self._peers.addrs[keeper]), msg)
 
-    # --- what others send
+    # --- messages from other gateways
 
     async def handle_datagram(self, msg: PeerDatagram, addr: Address) -> None:
-        """Take in what another gateway asks or tells of engines."""
+        """Process a query, an answer or a notification from another gateway."""
         if "ask" in msg:
             self._datagrams.send(addr, PeerDatagram(view=self._view_for(msg["ask"])))
         if "view" in msg:
@@ -231,37 +237,37 @@
 
     def _view_for(self, ask: BacklogAsk) -> BacklogView:
         now = clock.now()
-        question = BacklogQuery(ask["level"], ask["model"], tuple(ask["parts"]))
-        views = [self.local_estimate(engine, question, now) for engine in ask["engines"]]
+        query = BacklogQuery(ask["level"], ask["model"], tuple(ask["parts"]))
+        estimates = [self.local_estimate(engine, query, now) for engine in ask["engines"]]
         return BacklogView(
             id=ask["id"],
-            ahead_ms=[round(view.ahead_s * 1000) for view in views],
-            kept=[view.cached_parts for view in views],
+            ahead_ms=[round(estimate.ahead_s * 1000) for estimate in estimates],
+            kept=[estimate.cached_parts for estimate in estimates],
             token_ns=round(self._rates.own_rate_s(ask["model"]) * 1e9),
         )
 
     async def _handle_view(self, view: BacklogView) -> None:
-        asked = self._pending.get(view["id"])
-        engines = asked.engines.pop(view["id"], None) if asked is not None else None
-        if asked is None or engines is None:
+        pending = self._pending.get(view["id"])
+        engines = pending.engines.pop(view["id"], None) if pending is not None else None
+        if pending is None or engines is None:
             return
-        for engine, ahead_ms, kept in zip(engines, view["ahead_ms"], view["kept"], strict=False):
-            asked.estimates[engine] = BacklogEstimate(ahead_ms / 1000, kept, True)
-        self._rates.accept_peer_rate(asked.model, view["token_ns"] / 1e9)
-        if not asked.engines:
-            await asked.all_answered.set()
+        for engine, ahead_ms, cached in zip(engines, view["ahead_ms"], view["kept"], strict=False):
+            pending.estimates[engine] = BacklogEstimate(ahead_ms / 1000, cached, True)
+        self._rates.accept_peer_rate(pending.model, view["token_ns"] / 1e9)
+        if not pending.engines:
+            await pending.all_answered.set()
 
     # --- backlogs
 
     def _apply_sent(self, note: BacklogSent) -> None:
-        reading = PendingPrompt(
+        prompt = PendingPrompt(
             clock.now(),
             note["read_ms"] / 1000,
             note["level"],
             note["model"],
             tuple(note["parts"]),
         )
-        self._backlog(note["engine"]).add(note["key"], reading)
+        self._backlog(note["engine"]).add(note["key"], prompt)
 
     def _apply_done(self, engine: str, key: str, began: bool) -> None:
         backlog = self._backlog(engine)
--- a/ramppost/gateway/fatal.py
+++ b/ramppost/gateway/fatal.py
@@ -1,9 +1,9 @@
-"""Requests that end the upstreams that run them: found by all gateways, and run by none.
+"""Detects fatal requests, which crash the upstreams that run them, so that no gateway runs them.
 
-Whoever had a request at an upstream that has ended tells the others in datagrams: all of them in
-a small fleet, in a larger one the first in rank.  Each judges by the same rules
-(`ramppost.policy.fatal`).  What is certain is told to everybody, and to those that start later, by
-one document in the store; until that is read, a gateway goes by its own judgement.
+A gateway that had a request at an upstream that ended reports this in datagrams: to all gateways of
+a small fleet, in a larger one to the first in rank.  Each recipient applies the same rules
+(`ramppost.policy.fatal`).  Requests found to be fatal are published in one document in the store,
+which also reaches gateways that start later; until a gateway has read it, it uses its own verdict.
 """
 
 from __future__ import annotations
@@ -38,17 +38,17 @@
 )
 
 BATCH_DELAY_S: Final = 0.02
-"""What breaks off at one moment is told in one datagram."""
+"""Collects the requests that one upstream's end interrupts, so that they go in one datagram."""
 RESEND_DELAY_S: Final = 0.3
-"""A datagram may be lost."""
+"""Each report is sent twice because a datagram may be lost."""
 MIN_ERROR_STATUS: Final = 400
-"""The least status that is none of a success."""
+"""The lowest HTTP status that does not count as success."""
 MAX_REQUESTS_PER_DATAGRAM: Final = 100
-"""Requests in one datagram: 5 KB."""
+"""This many requests take 5 KB."""
 
 
 class FatalRequests:
-    """What this gateway knows of requests that end upstreams."""
+    """This gateway's evidence and verdicts on requests that crash upstreams."""
 
     def __init__(self, peers: Peers, datagrams: Datagrams, metrics: Metrics) -> None:
         self._peers = peers
@@ -56,18 +56,18 @@
         self._metrics = metrics
         self.evidence = CrashHistory()
         self.published: dict[str, FatalRequest] = {}
-        """What stands in the document, by fingerprint."""
+        """Contents of the document in the store, by fingerprint."""
         self.unpublished: dict[str, FatalRequest] = {}
-        """What was found here and is not in the document yet."""
+        """Findings of this gateway that are not in the document yet, by fingerprint."""
         self.cleared: set[str] = set()
-        """What stands in the document and was answered well here."""
+        """Fingerprints in the document that have since been answered successfully here."""
         self._awaiting_head: dict[str, set[Exchange]] = {}
-        """Requests that wait for the head of their answer."""
+        """Exchanges that have not received their response head, by fingerprint."""
         self._unsent_ends: dict[tuple[str, bool], list[RequestUnder]] = {}
         self._has_unsent_ends = curio.Event()
 
     def is_fatal(self, fingerprint: str) -> bool:
-        """Whether a request must not be run."""
+        """Whether a request is known to be fatal and must not be run."""
         now = clock.now()
         if self.evidence.is_harmless(fingerprint, now):
             return False
@@ -79,15 +79,17 @@
     async def record_end(
         self, upstream: str, fingerprint: str, sign: int, gone: bool = True
     ) -> None:
-        """An upstream has ended that had a request of this gateway; `gone` unless its box is silent
-        and so may be back at any moment."""
+        """Record and report that an upstream ended while it had a request of this gateway.
+
+        `gone` is false if its box does not respond at all and so may return at any moment.
+        """
         self._record(upstream, fingerprint, sign)
-        under = RequestUnder(fingerprint=fingerprint, sign=sign)
-        self._unsent_ends.setdefault((upstream, gone), []).append(under)
+        request = RequestUnder(fingerprint=fingerprint, sign=sign)
+        self._unsent_ends.setdefault((upstream, gone), []).append(request)
         await self._has_unsent_ends.set()
 
     def record_answer(self, fingerprint: str, status: int) -> None:
-        """A request was answered whole; with success, it was run and nothing ended of it."""
+        """Record a complete answer; a successful one clears the request of suspicion."""
         if status >= MIN_ERROR_STATUS:
             return
         if self._clear(fingerprint):
@@ -98,8 +100,10 @@
 
     @contextmanager
     def abort_if_fatal(self, fingerprint: str, exchange: Exchange) -> Iterator[None]:
-        """While inside, the exchange is cut where its request turns out to be fatal: one that
-        still waits at its upstream has not ended it yet."""
+        """Abort the exchange if its request is found to be fatal while in this context.
+
+        A request that is still waiting at its upstream has not crashed it yet.
+        """
         self._awaiting_head.setdefault(fingerprint, set()).add(exchange)
         try:
             yield
@@ -109,80 +113,82 @@
             if not waiting:
                 del self._awaiting_head[fingerprint]
 
-    # --- what others tell
+    # --- reports from other gateways and the document
 
     def handle_datagram(self, msg: PeerDatagram) -> None:
-        """Take in what another gateway tells."""
+        """Process a report from another gateway."""
         if "ended" in msg:
-            for under in msg["ended"]["under"][:MAX_REQUESTS_PER_DATAGRAM]:
-                self._record(msg["ended"]["upstream"], under["fingerprint"], under["sign"])
+            for request in msg["ended"]["under"][:MAX_REQUESTS_PER_DATAGRAM]:
+                self._record(msg["ended"]["upstream"], request["fingerprint"], request["sign"])
         if "harmless" in msg:
             self._clear(msg["harmless"]["fingerprint"])
 
     def reset(self) -> None:
-        """All may run again, whatever was seen until now."""
+        """Discard all evidence and verdicts, so that every request may run again."""
         self.evidence = CrashHistory()
         self.published = {}
         self.unpublished = {}
         self.cleared = set()
 
     def apply_document(self, requests: list[FatalRequest]) -> None:
-        """These stand in the document, and no others."""
-        before, self.published = self.published, {}
-        for one in requests[-MAX_FATAL:]:
-            self.published[one["fingerprint"]] = one
+        """Replace the known contents of the document."""
+        previous, self.published = self.published, {}
+        for request in requests[-MAX_FATAL:]:
+            self.published[request["fingerprint"]] = request
         self.cleared &= set(self.published)
-        for fingerprint, one in self.published.items():
-            if one == before.get(fingerprint):
+        for fingerprint, request in self.published.items():
+            if request == previous.get(fingerprint):
                 continue
-            logger.info("fatal request known", fingerprint=fingerprint, certain=one["certain"])
+            logger.info("fatal request known", fingerprint=fingerprint, certain=request["certain"])
             if fingerprint in self.unpublished and not _is_stronger(
-                self.unpublished[fingerprint], one
+                self.unpublished[fingerprint], request
             ):
                 del self.unpublished[fingerprint]
-            if one["certain"]:
+            if request["certain"]:
                 self._abort_waiting(fingerprint)
             else:
-                self._add_published_evidence(one)
+                self._add_published_evidence(request)
 
     def mark_published(self, requests: dict[str, FatalRequest]) -> None:
-        """These were written, also if a full document has no place for them."""
-        for fingerprint, one in requests.items():
-            if self.unpublished.get(fingerprint) is one:
+        """Mark findings as written, including those that did not fit into a full document."""
+        for fingerprint, request in requests.items():
+            if self.unpublished.get(fingerprint) is request:
                 del self.unpublished[fingerprint]
 
-    def _add_published_evidence(self, one: FatalRequest) -> None:
-        """Count what other gateways saw, which may be gone since."""
-        for upstream in one["upstreams"][:FATAL_START_ENDS]:
-            self._record(upstream, one["fingerprint"], JUST_BEGUN)
+    def _add_published_evidence(self, request: FatalRequest) -> None:
+        """Count ends that other gateways saw; those gateways may no longer exist."""
+        for upstream in request["upstreams"][:FATAL_START_ENDS]:
+            self._record(upstream, request["fingerprint"], JUST_BEGUN)
 
     def _clear(self, fingerprint: str) -> bool:
-        """Nothing speaks against a request any more; whether something did."""
+        """Clear a request of suspicion; returns whether there was any evidence against it."""
         if not self.evidence.record_answer(fingerprint, clock.now()):
             return False
         logger.info("request cleared", fingerprint=fingerprint)
         return True
 
-    # --- telling
+    # --- sending reports
 
     async def send_ends(self) -> None:
-        """Tell others what ended here, until cancelled."""
+        """Send reports of ended upstreams to other gateways, until cancelled."""
         while True:
             await self._has_unsent_ends.wait()
             await curio.sleep(BATCH_DELAY_S)
             self._has_unsent_ends.clear()
-            untold, self._unsent_ends = self._unsent_ends, {}
-            # What ends next is not kept waiting until this is told again.
-            await curio.spawn(self._send_ends_twice, untold, daemon=True)
+            unsent, self._unsent_ends = self._unsent_ends, {}
+            # Resending runs in its own task so that it does not delay later reports.
+            await curio.spawn(self._send_ends_twice, unsent, daemon=True)
 
-    async def _send_ends_twice(self, untold: dict[tuple[str, bool], list[RequestUnder]]) -> None:
-        self._send_ends_once(untold)
+    async def _send_ends_twice(self, unsent: dict[tuple[str, bool], list[RequestUnder]]) -> None:
+        self._send_ends_once(unsent)
         await curio.sleep(RESEND_DELAY_S)
-        self._send_ends_once(untold)
+        self._send_ends_once(unsent)
 
-    def _send_ends_once(self, untold: dict[tuple[str, bool], list[RequestUnder]]) -> None:
-        for (upstream, gone), under in untold.items():
-            strongest = sorted(under, key=lambda one: -one["sign"])[:MAX_REQUESTS_PER_DATAGRAM]
+    def _send_ends_once(self, unsent: dict[tuple[str, bool], list[RequestUnder]]) -> None:
+        for (upstream, gone), requests in unsent.items():
+            strongest = sorted(requests, key=lambda request: -request["sign"])[
+                :MAX_REQUESTS_PER_DATAGRAM
+            ]
             note = UpstreamEnded(upstream=upstream, gone=gone, under=strongest)
             self._send_to_judges(PeerDatagram(ended=note))
 
@@ -190,7 +196,7 @@
         for name in self._peers.evidence_collectors(clock.now()):
             self._datagrams.send(parse_address(self._peers.addrs[name]), msg)
 
-    # --- judging
+    # --- verdicts
 
     def _record(self, upstream: str, fingerprint: str, sign: int) -> None:
         now = clock.now()
@@ -198,7 +204,7 @@
         self._evaluate(fingerprint, now)
 
     def _evaluate(self, fingerprint: str, now: float) -> None:
-        """Find out whether a request is certain by now to end upstreams, or close to it."""
+        """Check whether the evidence proves a request fatal or is strong enough to be stored."""
         if fingerprint in self.evidence.fatal or not self.evidence.is_suspect(fingerprint):
             return
         if not self.evidence.is_fatal(fingerprint, now, self._peers.has_all_evidence(now)):
@@ -215,12 +221,12 @@
     def _queue_for_publication(
         self, fingerprint: str, ends: tuple[str, ...], certain: bool
     ) -> None:
-        """Have it written to the document, unless that says as much."""
+        """Queue a finding for the document unless an equally strong one is already known."""
         found = FatalRequest(
             fingerprint=fingerprint, at=int(time.time()), certain=certain, upstreams=list(ends)
         )
-        held = self.unpublished.get(fingerprint) or self.published.get(fingerprint)
-        if held is None or _is_stronger(found, held):
+        known = self.unpublished.get(fingerprint) or self.published.get(fingerprint)
+        if known is None or _is_stronger(found, known):
             self.unpublished[fingerprint] = found
 
     def _abort_waiting(self, fingerprint: str) -> None:
@@ -228,6 +234,6 @@
             exchange.shut_down()
 
 
-def _is_stronger(found: FatalRequest, held: FatalRequest) -> bool:
-    """Whether what was found says more than what is held."""
-    return found["certain"] and not held["certain"]
+def _is_stronger(found: FatalRequest, known: FatalRequest) -> bool:
+    """Whether a new finding is stronger than the known one."""
+    return found["certain"] and not known["certain"]
--- a/ramppost/gateway/fatal_doc.py
+++ b/ramppost/gateway/fatal_doc.py
@@ -1,9 +1,10 @@
-"""The document of requests that no gateway runs any more, in the store.
+"""Maintains the document of fatal requests in the store, which no gateway runs.
 
-Whoever finds a request to be fatal adds it, by a conditional write, and one that lacks a single
-end, too, since all gateways may be killed before that.  Whoever answers one well takes it out.  All
-gateways follow the document as they follow policies.  It is bounded in length, and what has
-stood there for a day goes with the next write.  An operator who deletes it lets all run again.
+A gateway that finds a request to be fatal adds it with a conditional write.  It also adds a request
+that is one end short of proof, since all gateways may be killed before the next end.  A gateway
+that answers a listed request successfully removes it.  All gateways watch the document, as they do
+policies.  Its length is bounded, and entries older than a day are removed on the next write.  If an
+operator deletes the document, all requests may run again.
 """
 
 from __future__ import annotations
@@ -34,27 +35,27 @@
 
 FATAL_KIND: Final = "fatal-requests"
 FATAL_NAME: Final = "main"
-"""The one document of this kind; a kind of our own in the store."""
+"""The only document of this kind, which is specific to ramppost."""
 WRITE_SPREAD_S: Final = 0.2
-"""Relays write within this of each other, and so do the others after them."""
+"""Relays spread their writes over this time, and the other gateways do so after them."""
 RETRY_DELAY_S: Final = 0.3
 POLL_INTERVAL_S: Final = 0.2
-"""How often to look whether there is something to write."""
+"""How often to check whether the document needs a write."""
 RETENTION_S: Final = 86_400
-"""Each time that a request is forgotten it ends some upstreams before it is found again."""
+"""Each time a fatal request is forgotten, it crashes some upstreams before it is detected again."""
 
 
 def fatal_listed(gw: Gateway, snapshot: Snapshot) -> None:
-    """The kind was listed."""
-    there = any(obj.name == FATAL_NAME for obj in snapshot.objects)
-    if gw.fatal.published and not there:
+    """Apply a listing of the kind."""
+    exists = any(obj.name == FATAL_NAME for obj in snapshot.objects)
+    if gw.fatal.published and not exists:
         _apply_removal(gw)
     for obj in snapshot.objects:
         _apply_document(gw, obj)
 
 
 def fatal_changed(gw: Gateway, change: Change) -> None:
-    """An object of the kind was written or removed."""
+    """Apply a write or removal of an object of the kind."""
     if not change.removed:
         _apply_document(gw, change.obj)
     elif change.obj.name == FATAL_NAME:
@@ -62,13 +63,13 @@
 
 
 async def sync_document(gw: Gateway) -> None:
-    """Write what is found here, and take out what was answered well, until cancelled."""
-    place = hash_fraction("fatal", gw.cfg["name"])
+    """Write findings to the document and remove cleared requests, until cancelled."""
+    fraction = hash_fraction("fatal", gw.cfg["name"])
     while True:
         await curio.sleep(POLL_INTERVAL_S)
         if not _needs_write(gw):
             continue
-        await curio.sleep(gw.peers.write_delay_s(WRITE_SPREAD_S, place, clock.now()))
+        await curio.sleep(gw.peers.write_delay_s(WRITE_SPREAD_S, fraction, clock.now()))
         while _needs_write(gw) and not await _write(gw):
             await curio.sleep(RETRY_DELAY_S)
 
@@ -89,23 +90,25 @@
 
 
 async def _write(gw: Gateway) -> bool:
-    """Bring the document up to date; whether that is done."""
-    held = await read(gw.store, FATAL_KIND, FATAL_NAME)
-    if isinstance(held, Unavailable):
-        logger.warning("fatal requests not written yet: {}", held.reason)
+    """Bring the document up to date; returns whether that succeeded."""
+    current = await read(gw.store, FATAL_KIND, FATAL_NAME)
+    if isinstance(current, Unavailable):
+        logger.warning(
+            "fatal requests not written yet; can't read the document: {}", current.reason
+        )
         return False
-    if isinstance(held, StoredObject):
-        _apply_document(gw, held)
+    if isinstance(current, StoredObject):
+        _apply_document(gw, current)
         if not _needs_write(gw):
             return True
     else:
         gw.fatal.apply_document([])
     doc, written = _merge(gw.fatal), dict(gw.fatal.unpublished)
     got: StoredObject | Conflict | Unavailable
-    if isinstance(held, Missing):
+    if isinstance(current, Missing):
         got = await create(gw.store, FATAL_KIND, FATAL_NAME, doc)
     else:
-        got = await replace(gw.store, FATAL_KIND, FATAL_NAME, held.revision, doc)
+        got = await replace(gw.store, FATAL_KIND, FATAL_NAME, current.revision, doc)
     if not isinstance(got, StoredObject):
         logger.info("fatal requests not written yet", outcome=type(got).__name__)
         return False
@@ -116,14 +119,17 @@
 
 
 def _merge(fatal: FatalRequests) -> FatalDoc:
-    """The document with what was found and without what was cleared or is old; where it would
-    be too long, those that are certain stay before the others, and the newest of each."""
+    """The document with new findings added and cleared or old requests removed.
+
+    If it would exceed its maximum length, certain requests take precedence over uncertain ones, and
+    newer ones over older ones.
+    """
     now = int(time.time())
-    young = {
-        fingerprint: one
-        for fingerprint, one in fatal.published.items()
-        if now - one["at"] < RETENTION_S and fingerprint not in fatal.cleared
+    recent = {
+        fingerprint: request
+        for fingerprint, request in fatal.published.items()
+        if now - request["at"] < RETENTION_S and fingerprint not in fatal.cleared
     }
-    together = [*(young | fatal.unpublished).values()]
-    newest = sorted(together, key=lambda one: (one["certain"], one["at"]))[-MAX_FATAL:]
-    return FatalDoc(requests=newest)
+    merged = [*(recent | fatal.unpublished).values()]
+    selected = sorted(merged, key=lambda request: (request["certain"], request["at"]))[-MAX_FATAL:]
+    return FatalDoc(requests=selected)
--- a/ramppost/gateway/membership.py
+++ b/ramppost/gateway/membership.py
@@ -1,15 +1,17 @@
-"""Which upstreams there are, by their own entries in the store.
+"""Tracks the known upstreams by their entries in the store.
 
-An entry that is removed means that its upstream has left, or that it could not renew the
-entry because the store was away; then it is back soon.  Which of the two can't be told
-when it happens.  So an upstream whose entry is gone is used only where its service has
-no other, and dropped after a grace if the entry has not come back.
+An entry disappears either because its upstream has left or because the upstream could not renew
+it while the store was unavailable; in the second case the entry returns soon.  The two cases can't
+be distinguished when the entry disappears.  Therefore an upstream without an entry is used only if
+its service has no other upstream, and is dropped if the entry does not return within a grace
+period.
 
-The entry of an upstream that has ended stays for some seconds.  Where that is found out otherwise,
-it is not used at all meanwhile, since its box refuses every connection.
+The entry of an upstream that has ended remains for some seconds.  If the end is detected by other
+means, the upstream is excluded during that time, because its box refuses every connection.
 
-An upstream may start again under its id.  Then it is another one: `take_gone` gives the start
-that is over, so that nothing known of it is held against the new one.
+An upstream may restart under the same id and is then a new incarnation.
+`take_ended_incarnations` returns the previous one, so that the caller can discard its state and
+the new incarnation is not affected by it.
 """
 
 from __future__ import annotations
@@ -19,17 +21,21 @@
 from ramppost.gateway.model import Upstream
 
 EXPIRY_GRACE_S: Final = 1.6
-"""Entries that lapsed in an outage are back about 2 s after it, and an upstream that was
-removed for good must get nothing after 2 s: the margin is for the way to it."""
+"""Entries that expired during a store outage return about 2 s after it.  An upstream that was
+removed for good must receive nothing after 2 s; the difference allows for the transit time of a
+request."""
 
 
 ENDED_EXCLUSION_S: Final = 4.0
-"""The entry of one that has ended goes after three of its heartbeats, of 1.2 s and less."""
+"""The entry of an ended upstream expires after three heartbeats, which are at most 1.2 s apart."""
 
 
 class Member(NamedTuple):
-    """An upstream, when it is dropped if its entry stays away, and until when it is not used since
-    it was found to have ended (steady clock)."""
+    """An upstream and its state; times on the monotonic clock.
+
+    `drop_at` is when it is dropped unless its entry returns, None while it has an entry.  It is not
+    used until `excluded_until` because it was found to have ended.
+    """
 
     upstream: Upstream
     drop_at: float | None
@@ -37,28 +43,28 @@
 
 
 class Members:
-    """The upstreams known now, by id."""
+    """The currently known upstreams, by id."""
 
     def __init__(self) -> None:
         self._members: dict[str, Member] = {}
         self._ended_incarnations: list[Upstream] = []
         self._evacuated_halls: frozenset[str] = frozenset()
         self._usable_cache: dict[str, list[Upstream]] = {}
-        """Upstreams of a service that take new work and have entries, until the next change."""
+        """Upstreams with entries that accept new requests, by service; cleared on every change."""
 
     def put(self, upstream: Upstream) -> bool:
-        """An entry was written; true if it is new or differs from what was known."""
+        """Apply a written entry; returns whether it is new or differs from the known one."""
         known = self._members.get(upstream.id)
-        ended_until = float("-inf")
+        excluded_until = float("-inf")
         if known is not None and known.upstream.key == upstream.key:
-            ended_until = known.excluded_until
+            excluded_until = known.excluded_until
         elif known is not None:
             self._ended_incarnations.append(known.upstream)
-        self._set(Member(upstream, None, ended_until))
+        self._set(Member(upstream, None, excluded_until))
         return known is None or known.upstream != upstream or known.drop_at is not None
 
     def remove(self, upstream_id: str, now: float) -> bool:
-        """An entry is gone.  True if it was known."""
+        """Apply the removal of an entry; returns whether the upstream was known."""
         known = self._members.get(upstream_id)
         if known is None:
             return False
@@ -69,7 +75,7 @@
         return True
 
     def mark_ended(self, upstream_key: str, now: float, for_s: float = ENDED_EXCLUSION_S) -> None:
-        """The start of an upstream was found to be over, whatever its entry says."""
+        """Exclude an incarnation that was found to have ended, even if its entry still exists."""
         for member in list(self._members.values()):
             if member.upstream.key == upstream_key:
                 until = max(member.excluded_until, now + for_s)
@@ -85,7 +91,7 @@
         return upstream.hall in self._evacuated_halls
 
     def drop(self, upstream_id: str) -> bool:
-        """An upstream must not be used any more.  True if it was known."""
+        """Stop using an upstream; returns whether it was known."""
         known = self._members.pop(upstream_id, None)
         if known is None:
             return False
@@ -94,34 +100,37 @@
         return True
 
     def take_ended_incarnations(self) -> list[Upstream]:
-        """The starts of upstreams that are over since this was last called."""
-        gone, self._ended_incarnations = self._ended_incarnations, []
-        return gone
+        """Return the incarnations that have ended since the previous call."""
+        ended, self._ended_incarnations = self._ended_incarnations, []
+        return ended
 
     def replace_all(self, listed: list[Upstream], now: float) -> None:
-        """The entries are exactly these."""
-        there = {upstream.id for upstream in listed}
-        for missing in [name for name in self._members if name not in there]:
+        """Replace all entries with the listed ones."""
+        listed_ids = {upstream.id for upstream in listed}
+        for missing in [name for name in self._members if name not in listed_ids]:
             self.remove(missing, now)
         for upstream in listed:
             self.put(upstream)
 
     def drop_expired(self, now: float) -> list[Upstream]:
-        """Drop those whose grace has passed; gives them.  Any that were found to have ended and are
-        listed still are used again in time."""
+        """Drop and return the upstreams whose grace period has passed.
+
+        Upstreams that were excluded as ended and still have an entry become usable again once
+        their exclusion has expired.
+        """
         if any(0.0 < m.excluded_until <= now for m in self._members.values()):
             self._clear_exclusions(now)
-        gone = [m.upstream for m in self._members.values() if m.drop_at and m.drop_at <= now]
-        for upstream in gone:
+        expired = [m.upstream for m in self._members.values() if m.drop_at and m.drop_at <= now]
+        for upstream in expired:
             self.drop(upstream.id)
-        return gone
+        return expired
 
     def all(self) -> list[Upstream]:
-        """Every upstream, leaving ones too."""
+        """All known upstreams, including draining ones."""
         return [member.upstream for member in self._members.values()]
 
     def usable(self, service: str, now: float) -> list[Upstream]:
-        """Upstreams of a service that take new work; those without an entry as a last resort."""
+        """Upstreams that accept new requests; those without an entry only as a last resort."""
         listed = self._usable_cache.get(service)
         if listed is None:
             listed = self._usable_cache[service] = [
@@ -129,8 +138,8 @@
             ]
         if listed:
             return listed
-        working = self._available(service, now)
-        return [m.upstream for m in working if m.drop_at is not None and now < m.drop_at]
+        available = self._available(service, now)
+        return [m.upstream for m in available if m.drop_at is not None and now < m.drop_at]
 
     def _available(self, service: str, now: float) -> list[Member]:
         return [
--- a/ramppost/gateway/model.py
+++ b/ramppost/gateway/model.py
@@ -1,8 +1,8 @@
-"""What a gateway knows of its deployment, in the project's own terms.
+"""Domain model of a deployment as a gateway sees it.
 
-The adapter in `ramppost.platform` decodes these from the platform's documents; the
-rest of the gateway reads nothing else.  All are immutable: a new configuration is a
-new `RoutingTable`.
+`ramppost.platform` decodes these types from the platform's documents; the rest of the gateway does
+not depend on the format of those documents.  All types are immutable: a new configuration is a new
+`RoutingTable`.
 """
 
 from __future__ import annotations
@@ -10,20 +10,20 @@
 from typing import Literal, NamedTuple
 
 RetryMode = Literal["any", "never"]
-"""Whether a request may be run again after its first run may have begun."""
+"""Whether a request may be retried once an upstream may have started to run it."""
 
 RolloutState = Literal["ordered", "completed", "rolled_back"]
 
 
 class Target(NamedTuple):
-    """A service that takes a share of a route's requests."""
+    """A service that receives a weighted share of a route's requests."""
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """How requests below a path of a host are served; times in seconds."""
+    """How requests under a path prefix of a host are served; times in seconds."""
 
     name: str
     host: str
@@ -44,7 +44,7 @@
 
 
 class Engine(NamedTuple):
-    """What a service's model engines have in common."""
+    """Properties shared by all model engines of a service."""
 
     slots: int
     memory_tokens: int
@@ -56,7 +56,7 @@
     """A pool of upstreams; `engine` is None for a plain service.
 
     After a start or an idle period, an upstream warms up for about `warmup_s` seconds, during which
-    it can handle `warmup_per_s` requests per second; 0 means that there is no such limit.
+    it can handle `warmup_per_s` requests per second; 0 means no limit.
     """
 
     name: str
@@ -67,7 +67,7 @@
 
 
 class Workspace(NamedTuple):
-    """Whom a key belongs to; priority 0 goes first."""
+    """The owner of an API key; priority 0 is the most urgent."""
 
     name: str
     priority: int
@@ -76,7 +76,7 @@
 
 
 class CallerLimits(NamedTuple):
-    """What a caller may send and how long it may take; seconds and bytes."""
+    """Limits on the size and duration of a caller's request; bytes and seconds."""
 
     header_bytes: int
     body_bytes: int
@@ -85,9 +85,9 @@
 
 
 class RoutingTable(NamedTuple):
-    """A configuration.  `routes` of a host are sorted by prefix, longest first.
+    """A decoded configuration.  The routes of each host are sorted by prefix, longest first.
 
-    `keys` is None where the configuration has no workspaces, so that no key is asked for.
+    `keys` is None if the configuration has no workspaces; requests then need no API key.
     """
 
     version: int
@@ -99,8 +99,10 @@
 
 
 class Upstream(NamedTuple):
-    """A running upstream.  It may start again under its `id`, and then knows nothing of before;
-    `born` is the time of its start, milliseconds since 1970, or 0 where it does not tell."""
+    """A running upstream.  It may restart under the same `id` and then has lost all earlier state.
+
+    `started_ms` is its start time in milliseconds since 1970, or 0 if it does not report one.
+    """
 
     id: str
     addr: str
@@ -113,7 +115,7 @@
 
     @property
     def key(self) -> str:
-        """Names this start of the upstream: what is known of it is kept by this.
+        """Identifies this incarnation of the upstream; state about it is stored under this key.
 
         >>> Upstream("i-1", "10.0.0.1:80", "lm", "bole", "v1", 8, False, 7).key
         'i-1@7'
@@ -122,7 +124,7 @@
 
 
 class RolloutOrder(NamedTuple):
-    """An operator's order to move a service to a version, and what became of it."""
+    """An operator's order to move a service to a version, and its current state."""
 
     service: str
     version: str
@@ -132,7 +134,7 @@
 
 
 class Prompt(NamedTuple):
-    """What a caller told of a prompt: the parts it shares with others, and sizes in tokens."""
+    """A prompt as declared by its caller: parts that other prompts may share; sizes in tokens."""
 
     parts: tuple[tuple[str, int], ...]
     tokens_in: int
@@ -140,12 +142,12 @@
 
     @property
     def part_names(self) -> tuple[str, ...]:
-        """Names of the parts, in order."""
+        """Names of the parts in prompt order."""
         return tuple(name for name, _ in self.parts)
 
 
 class CallerRequest(NamedTuple):
-    """A request as it came in.  `headers` are those that travel on, as they were sent."""
+    """A request as received.  `headers` are those to forward, unchanged."""
 
     method: str
     target: str
