--- a/ramppost/gateway/subscribe.py
+++ b/ramppost/gateway/subscribe.py
@@ -93,7 +93,7 @@
 
 
 async def poll_once(gw: Gateway, name: str) -> bool:
-    """Poll a gateway once; true if it keeps up with the store or is just receiving its response."""
+    """Poll a gateway once; true if it keeps up with the store or is reading from it."""
     starting = not urgent_kinds_known(gw)
     wait_s = START_WAIT_S if starting else feed_wait_s(gw)
     query = _Query(name, clock.now(), wait_s, starting)
