--- a/ramppost/entry/callers.py
+++ b/ramppost/entry/callers.py
@@ -5,8 +5,8 @@
 from loguru import logger
 
 from ramppost import clock
-from ramppost.entry.ask import KEY_HEADER, Ask, read_chat, read_service, workspace_for
 from ramppost.entry.dispatch import Running, resolve
+from ramppost.entry.job import KEY_HEADER, Job, read_chat, read_service, workspace_for
 from ramppost.entry.keyed import key_of
 from ramppost.entry.operators import operators
 from ramppost.entry.serve import pass_on, serve_ask
@@ -24,12 +24,12 @@
 CODES = {408: "too_slow", 413: "too_large", 431: "too_large"}
 
 
-def caller_error(bad: BadInput) -> bytes:
+def encode_bad_input(bad: BadInput) -> bytes:
     """The body for input that could not be read."""
     return error_body(refusal(CODES.get(bad.status, "bad_request"), bad.reason))
 
 
-def callers(entry: Entry) -> Handler:
+def callers_handler(entry: Entry) -> Handler:
     """The handler of an entry's callers' listener."""
 
     async def handle(req: Request, reply: Reply) -> None:
@@ -91,7 +91,7 @@
     return None
 
 
-async def _limited(entry: Entry, ask: Ask, req: Request, reply: Reply) -> None:
+async def _limited(entry: Entry, ask: Job, req: Request, reply: Reply) -> None:
     """Serve a request within its workspace's limits."""
     name = ask.ws["name"]
     ref = _turned_away(entry, ask.ws)
@@ -107,7 +107,7 @@
         entry.running[name] -= 1
 
 
-async def _refuse(entry: Entry, ask: Ask, ref: Refusal, reply: Reply) -> None:
+async def _refuse(entry: Entry, ask: Job, ref: Refusal, reply: Reply) -> None:
     """Send the final word; "not run" of a key that was not looked up yet is checked first."""
     if ask.key and ref.ran == "no" and not ask.trace.claimed:
         ref = ref._replace(ran=await entry.homes.ran(key_of(ask)))
@@ -116,7 +116,7 @@
     await send_refusal(reply, ref, ask.request_id)
 
 
-async def _served(entry: Entry, ask: Ask, req: Request, reply: Reply) -> Refusal | None:
+async def _served(entry: Entry, ask: Job, req: Request, reply: Reply) -> Refusal | None:
     sink: Sink = (
         StreamSink(reply, ask.include_usage) if ask.stream else WholeSink(reply, bool(ask.service))
     )
@@ -126,7 +126,7 @@
     return await serve_ask(entry, ask, sink)
 
 
-async def _resume(entry: Entry, ask: Ask, token: str, last: str, sink: Sink) -> Refusal | None:
+async def _resume(entry: Entry, ask: Job, token: str, last: str, sink: Sink) -> Refusal | None:
     """Read a stream on after the event that a caller has last seen, at any entry."""
     assert entry.conf.doc is not None
     place = verify_stream_token(entry.conf.doc["session_keys"], token, ask.ws["name"])
--- a/ramppost/entry/claimhome.py
+++ b/ramppost/entry/claimhome.py
@@ -27,7 +27,7 @@
     Outcome,
     Taken,
 )
-from ramppost.entry.shunned import Shunned
+from ramppost.entry.unresponsive import UnresponsiveEntries
 from ramppost.entry.upstreams import Upstreams
 from ramppost.errors import Ran
 from ramppost.policy.claims import SHARDS, Shard, shard_of
@@ -54,7 +54,7 @@
         self.ups = ups
         self.pool = pool
         self.me = ids.address(me)
-        self.shunned = Shunned()
+        self.shunned = UnresponsiveEntries()
         self.noting = 0
         self.told = Shard()
         self.read_once = False
--- a/ramppost/entry/copies.py
+++ b/ramppost/entry/copies.py
@@ -15,7 +15,7 @@
 import curio
 
 from ramppost import clock, ids
-from ramppost.entry.shunned import Shunned
+from ramppost.entry.unresponsive import UnresponsiveEntries
 from ramppost.entry.upstreams import Upstreams
 from ramppost.ledger import Filer
 from ramppost.schema.messages import BillLine, CopiesMsg, SettledMsg
@@ -42,7 +42,7 @@
         self.unsent: dict[str, BillLine] = {}
         self.holders: dict[str, str] = {}
         self.kept: dict[str, tuple[float, BillLine]] = {}
-        self.shunned = Shunned()
+        self.shunned = UnresponsiveEntries()
 
     def add(self, line: BillLine) -> None:
         """Have a line of ours copied; the oldest go without where none can be sent."""
--- a/ramppost/entry/dispatch.py
+++ b/ramppost/entry/dispatch.py
@@ -14,7 +14,7 @@
 
 from ramppost import clock, ids
 from ramppost.confsync import fetch
-from ramppost.entry.ask import Ask, Trace
+from ramppost.entry.job import Job, Trace
 from ramppost.entry.state import Entry
 from ramppost.entry.upstreams import Upstream
 from ramppost.policy.bills import request_id_of
@@ -50,7 +50,7 @@
     reason: str
 
 
-class Cut(NamedTuple):
+class ReadFailure(NamedTuple):
     """An answer broke off."""
 
     reason: str
@@ -77,7 +77,7 @@
 
 
 def run_msg(
-    entry: Entry, ask: Ask, mv: ModelVersion, agent: str, attempt: str, left_s: float
+    entry: Entry, ask: Job, mv: ModelVersion, agent: str, attempt: str, left_s: float
 ) -> RunMsg:
     """The message that asks an agent to run."""
     return RunMsg(
@@ -206,17 +206,17 @@
         await fetch(entry.conf, entry.pool, addr)
 
 
-async def next_frame(run: Running) -> Frame | Cut:
+async def read_frame(run: Running) -> Frame | ReadFailure:
     """The next piece of an answer; one that is not its own or out of turn is a cut."""
     try:
         line = await curio.timeout_after(FRAME_TIMEOUT_S, run.stream.read_line())
     except (OSError, curio.TaskTimeout) as exc:
-        return Cut(str(exc) or "no piece in time")
+        return ReadFailure(str(exc) or "no piece in time")
     frame = decode(line, Frame)
     if isinstance(frame, BadMessage):
-        return Cut(frame.reason)
+        return ReadFailure(frame.reason)
     if frame["attempt"] != run.attempt or frame["n"] != run.next_n:
-        return Cut("piece of another answer or out of turn")
+        return ReadFailure("piece of another answer or out of turn")
     if "end" not in frame:
         run.next_n += 1
     return frame
@@ -225,8 +225,8 @@
 async def read_on(entry: Entry, run: Running) -> Frame | Unknown:
     """The next piece, reading the answer on over a fresh connection where it is cut."""
     for _ in range(RESOLVE_TRIES):
-        frame = await next_frame(run)
-        if not isinstance(frame, Cut):
+        frame = await read_frame(run)
+        if not isinstance(frame, ReadFailure):
             return frame
         await run.stream.close()
         logger.bind(request=run.request_id).info("answer cut: {}", frame.reason)
--- a/ramppost/entry/ask.py
+++ b/ramppost/entry/job.py
@@ -1,4 +1,4 @@
-"""Reads a caller's request into an `Ask`, or says what is wrong with it."""
+"""Reads a caller's request into an `Job`, or says what is wrong with it."""
 
 from __future__ import annotations
 
@@ -58,13 +58,13 @@
             self.ran = "unknown"
 
 
-class Ask(NamedTuple):
+class Job(NamedTuple):
     """A caller's request, checked."""
 
     request_id: str
     ws: Workspace
     cls: WorkClass
-    wanted: ModelVersion
+    requested_version: ModelVersion
     service: str
     session: SessionPayload | None
     key: str
@@ -99,7 +99,7 @@
     return ws if ws is not None else refusal("unauthorized", "bearer token missing or unknown")
 
 
-def read_chat(req: Request, doc: ConfigDoc, ws: Workspace) -> Ask | Refusal:
+def read_chat(req: Request, doc: ConfigDoc, ws: Workspace) -> Job | Refusal:
     """A chat request."""
     if not req.headers.get("content-type", "").startswith("application/json"):
         return refusal("bad_request", "content-type must be application/json")
@@ -117,14 +117,14 @@
     if isinstance(base, Refusal):
         return base
     return base._replace(
-        wanted=parse_model(body["model"]),
+        requested_version=parse_model(body["model"]),
         stream=bool(body.get("stream")),
         include_usage=options.get("include_usage", False),
         prefix=prefix,
     )
 
 
-def read_service(req: Request, doc: ConfigDoc, ws: Workspace) -> Ask | Refusal:
+def read_service(req: Request, doc: ConfigDoc, ws: Workspace) -> Job | Refusal:
     """A call of a plain service, `/services/<name>/...`."""
     name, _, rest = req.path.removeprefix("/services/").partition("/")
     if name not in ws["services"]:
@@ -139,7 +139,7 @@
     return base._replace(service=name, path=f"{req.method} /{rest}")
 
 
-def _base(req: Request, doc: ConfigDoc, ws: Workspace, body: str) -> Ask | Refusal:
+def _base(req: Request, doc: ConfigDoc, ws: Workspace, body: str) -> Job | Refusal:
     """What both kinds of request have in common."""
     cls = _class(req, doc)
     if isinstance(cls, Refusal):
@@ -153,11 +153,11 @@
     session = _session(req, doc, ws)
     if isinstance(session, Refusal):
         return session
-    return Ask(
+    return Job(
         request_id=ids.request_id(doc["revision"]),
         ws=ws,
         cls=cls,
-        wanted=ModelVersion("", ""),
+        requested_version=ModelVersion("", ""),
         service="",
         session=session,
         key=key,
--- a/ramppost/entry/keyed.py
+++ b/ramppost/entry/keyed.py
@@ -15,7 +15,6 @@
 import curio
 
 from ramppost import clock
-from ramppost.entry.ask import Ask
 from ramppost.entry.claimlog import Granted, NoClaim, Taken
 from ramppost.entry.dispatch import (
     NotRun,
@@ -28,7 +27,8 @@
     run_msg,
     send_run,
 )
-from ramppost.entry.obtained import LEAST_RETRY_S, Obtained, Reroute, own, refused
+from ramppost.entry.job import Job
+from ramppost.entry.start_result import LEAST_RETRY_S, Reroute, StartResult, own, refused
 from ramppost.entry.state import Entry
 from ramppost.entry.upstreams import Upstream
 from ramppost.errors import Refusal, refusal
@@ -41,12 +41,12 @@
 CANDIDATES: Final = 3
 JOIN_GRACE_S: Final = 0.6
 JOIN_PAUSE_S: Final = 0.1
-PLATFORM_RETRY_S: Final = 2.0
+CLAIM_RETRY_AFTER_S: Final = 2.0
 
 
-async def obtain_keyed(
-    entry: Entry, ask: Ask, mv: ModelVersion, stage: int, deadline: float
-) -> Obtained:
+async def start_keyed_run(
+    entry: Entry, ask: Job, mv: ModelVersion, stage: int, deadline: float
+) -> StartResult:
     """An answer running for a request that may run only once."""
     key = key_of(ask, stage)
     generation, request_id = 0, ask.request_id
@@ -75,9 +75,9 @@
         if isinstance(got, NoClaim):
             message = "the key can't be recorded now, so the request was not begun"
             if got.sure:
-                return refusal("claim_unavailable", message, PLATFORM_RETRY_S)
+                return refusal("claim_unavailable", message, CLAIM_RETRY_AFTER_S)
             message += "; whether an earlier one with this key was can't be told now"
-            return refusal("claim_unavailable", message, PLATFORM_RETRY_S, "unknown")
+            return refusal("claim_unavailable", message, CLAIM_RETRY_AFTER_S, "unknown")
         if isinstance(got, Granted):
             return await _run_claimed(entry, ask, claim, ups, deadline)
         assert isinstance(got, Taken)
@@ -92,7 +92,7 @@
     return refusal("overloaded", "the key is contended", LEAST_RETRY_S)
 
 
-def key_of(ask: Ask, stage: int = 0) -> str:
+def key_of(ask: Job, stage: int = 0) -> str:
     """The claim key of a request's stage."""
     return claim_key(ask.ws["name"], f"{stage}:{ask.key}")
 
@@ -116,8 +116,8 @@
 
 
 async def _run_claimed(
-    entry: Entry, ask: Ask, claim: Claim, ups: list[Upstream], deadline: float
-) -> Obtained:
+    entry: Entry, ask: Job, claim: Claim, ups: list[Upstream], deadline: float
+) -> StartResult:
     """Dispatch under a claim of ours, to its agents in turn."""
     mv = ModelVersion(claim["model"], claim["version"])
     out: Outcome = NotRun("no_upstream", LEAST_RETRY_S)
@@ -141,7 +141,7 @@
     return refused(out, mv)
 
 
-async def _follow_successor(entry: Entry, ask: Ask, claim: Claim) -> Obtained:
+async def _follow_successor(entry: Entry, ask: Job, claim: Claim) -> StartResult:
     """Another entry had our attempt barred: answer with what came of the key there."""
     got = await entry.homes.claim(claim | {"nonce": ""})
     if isinstance(got, Taken) and got.held["generation"] > claim["generation"]:
--- a/ramppost/entry/main.py
+++ b/ramppost/entry/main.py
@@ -11,7 +11,7 @@
 from ramppost import clock
 from ramppost.agent.door import send_config
 from ramppost.confsync import CONFIG_PATH, ask_peers, follow_platform
-from ramppost.entry.callers import caller_error, callers
+from ramppost.entry.callers import callers_handler, encode_bad_input
 from ramppost.entry.claimhome import CLAIM_PATH, PEEK_PATH, reply_of
 from ramppost.entry.copies import COPIES_PATH, SETTLED_PATH
 from ramppost.entry.report import own_report
@@ -126,7 +126,14 @@
             serve, inner_sock, internal(entry), Limits(), None, None, entry.inner, daemon=True
         ),
         await curio.spawn(
-            serve, outer_sock, callers(entry), limits, caller_error, tls, entry.outer, daemon=True
+            serve,
+            outer_sock,
+            callers_handler(entry),
+            limits,
+            encode_bad_input,
+            tls,
+            entry.outer,
+            daemon=True,
         ),
     ]
     try:
--- a/ramppost/entry/route.py
+++ b/ramppost/entry/route.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from ramppost.entry.ask import AUTO, Ask
+from ramppost.entry.job import AUTO, Job
 from ramppost.entry.state import Entry
 from ramppost.errors import Refusal, refusal
 from ramppost.policy.permissions import (
@@ -34,20 +34,20 @@
         return self.policy["name"] if self.policy else NO_POLICY
 
 
-def route(entry: Entry, ask: Ask, doc: ConfigDoc) -> Route | Refusal:
+def route(entry: Entry, ask: Job, doc: ConfigDoc) -> Route | Refusal:
     """The versions to try for a request by the configuration in force."""
     if ask.service:
         return Route([PickedVersion(ModelVersion("", ""), False)], None)
     if ask.session is not None:
-        return _held(ask, doc)
-    if ask.wanted.model == AUTO:
+        return _route_session(ask, doc)
+    if ask.requested_version.model == AUTO:
         return _auto(entry, ask, doc)
-    if ask.wanted.version:
+    if ask.requested_version.version:
         return _named(ask, doc)
-    return _model(entry, ask, doc, ask.wanted.model)
+    return _model(entry, ask, doc, ask.requested_version.model)
 
 
-def _held(ask: Ask, doc: ConfigDoc) -> Route | Refusal:
+def _route_session(ask: Job, doc: ConfigDoc) -> Route | Refusal:
     """A session keeps its version."""
     assert ask.session is not None
     mv = ModelVersion(ask.session["model"], ask.session["version"])
@@ -55,15 +55,19 @@
         return refusal("session_ended", f"the session's version {mv.text} was withdrawn")
     if not allowed(ask.ws, mv):
         return _forbidden(ask, mv)
-    if ask.wanted.model not in (AUTO, mv.model) or ask.wanted.version not in ("", mv.version):
+    if ask.requested_version.model not in (AUTO, mv.model) or ask.requested_version.version not in (
+        "",
+        mv.version,
+    ):
         return refusal(
-            "bad_session", f"the session is on {mv.text}, not {ask.wanted.text.strip('@')}"
+            "bad_session",
+            f"the session is on {mv.text}, not {ask.requested_version.text.strip('@')}",
         )
     return Route([PickedVersion(mv, version_state(doc, mv) == "trial")], None)
 
 
-def _named(ask: Ask, doc: ConfigDoc) -> Route | Refusal:
-    mv = ask.wanted
+def _named(ask: Job, doc: ConfigDoc) -> Route | Refusal:
+    mv = ask.requested_version
     state = version_state(doc, mv)
     if state == "unknown":
         return refusal("not_found", f"no such model version: {mv.text}")
@@ -74,7 +78,7 @@
     return Route([PickedVersion(mv, state == "trial")], None)
 
 
-def _model(entry: Entry, ask: Ask, doc: ConfigDoc, model: str) -> Route | Refusal:
+def _model(entry: Entry, ask: Job, doc: ConfigDoc, model: str) -> Route | Refusal:
     found = model_named(doc, model)
     if found is None:
         return refusal("not_found", f"no such model: {model}")
@@ -87,7 +91,7 @@
     return Route([pick], None)
 
 
-def _auto(entry: Entry, ask: Ask, doc: ConfigDoc) -> Route | Refusal:
+def _auto(entry: Entry, ask: Job, doc: ConfigDoc) -> Route | Refusal:
     """What the policy says; a request that may run only once has no cascade, but its last model."""
     policy = policy_named(doc, policy_for(ask.ws, ask.who))
     if policy is None:
@@ -104,7 +108,7 @@
     return Route(found, policy)
 
 
-def _pick(entry: Entry, ask: Ask, doc: ConfigDoc, model: str) -> PickedVersion | None:
+def _pick(entry: Entry, ask: Job, doc: ConfigDoc, model: str) -> PickedVersion | None:
     def may(mv: ModelVersion) -> bool:
         free = allowed(ask.ws, mv) and mv not in entry.paused
         return free and bool(entry.ups.candidates(mv, ""))
@@ -116,6 +120,6 @@
     return pick_version(doc, model, ask.who, may)
 
 
-def _forbidden(ask: Ask, mv: ModelVersion) -> Refusal:
+def _forbidden(ask: Job, mv: ModelVersion) -> Refusal:
     name = mv.text.rstrip("@")
     return refusal("forbidden", f"workspace {ask.ws['name']} may not use {name}")
--- a/ramppost/entry/serve.py
+++ b/ramppost/entry/serve.py
@@ -11,12 +11,12 @@
 from loguru import logger
 
 from ramppost import clock
-from ramppost.entry.ask import Ask
 from ramppost.entry.dispatch import Running, finish, read_on
-from ramppost.entry.obtain import obtain
-from ramppost.entry.obtained import Reroute
+from ramppost.entry.job import Job
 from ramppost.entry.route import NO_POLICY, Route, route
 from ramppost.entry.sink import Sink
+from ramppost.entry.start import start_run
+from ramppost.entry.start_result import Reroute
 from ramppost.entry.state import Entry
 from ramppost.entry.stats import Served
 from ramppost.errors import Refusal, refusal
@@ -41,7 +41,7 @@
     end: End
 
 
-async def serve_ask(entry: Entry, ask: Ask, sink: Sink) -> Refusal | None:
+async def serve_ask(entry: Entry, ask: Job, sink: Sink) -> Refusal | None:
     """Serve a request into a sink; a refusal is returned if nothing was sent yet."""
     ref = await _rounds(entry, ask, sink)
     if ref is not None and ref.ran == "no" and ask.trace.ran != "no":
@@ -51,7 +51,7 @@
     return ref
 
 
-async def _rounds(entry: Entry, ask: Ask, sink: Sink) -> Refusal | None:
+async def _rounds(entry: Entry, ask: Job, sink: Sink) -> Refusal | None:
     """Route and try; again where the version changed, or where a repeatable one failed."""
     started = clock.now()
     deadline = started + ask.deadline_ms / 1000
@@ -82,7 +82,7 @@
     return True
 
 
-def _again(entry: Entry, ask: Ask, sink: Sink, got: Refusal) -> bool:
+def _again(entry: Entry, ask: Job, sink: Sink, got: Refusal) -> bool:
     """Whether to try again what failed before its caller saw any of it."""
     if not ask.repeatable or sink.started or got.code not in RETRIED_CODES:
         return False
@@ -92,7 +92,7 @@
     return True
 
 
-def _count_refused(entry: Entry, ask: Ask, ref: Refusal) -> None:
+def _count_refused(entry: Entry, ask: Job, ref: Refusal) -> None:
     served = entry.stats.served.get(ask.request_id)
     entry.stats.policy(served.policy if served else NO_POLICY).refused += 1
     outcome = "refused" if ref.ran == "no" else "failed"
@@ -102,7 +102,7 @@
 
 async def _stages(
     entry: Entry,
-    ask: Ask,
+    ask: Job,
     chosen: Route,
     sink: Sink,
     deadline: float,
@@ -115,7 +115,7 @@
         last = stage == len(chosen.picks) - 1
         if pick.trial and entry.conf.doc is not None:
             entry.expose(entry.conf.doc, pick.mv)
-        run = await obtain(entry, ask, pick.mv, stage, turn, deadline)
+        run = await start_run(entry, ask, pick.mv, stage, turn, deadline)
         if isinstance(run, Reroute):
             return run
         if isinstance(run, Refusal):
@@ -140,7 +140,7 @@
     return refusal("upstream_failed", "no stage of the cascade answered")
 
 
-def _count_begun(entry: Entry, ask: Ask, chosen: Route, pick: PickedVersion, run: Running) -> None:
+def _count_begun(entry: Entry, ask: Job, chosen: Route, pick: PickedVersion, run: Running) -> None:
     count = entry.stats.policy(chosen.policy_name)
     count.requests += 1
     count.trial_requests += pick.trial
@@ -148,7 +148,7 @@
     entry.stats.remember(run.request_id, served)
 
 
-async def _read_whole(entry: Entry, ask: Ask, run: Running) -> Whole | Refusal:
+async def _read_whole(entry: Entry, ask: Job, run: Running) -> Whole | Refusal:
     pieces: list[str] = []
     while True:
         frame = await read_on(entry, run)
@@ -165,7 +165,7 @@
         return Whole(run, pieces, frame["end"])
 
 
-async def _pass_whole(entry: Entry, ask: Ask, whole: Whole, sink: Sink, started: float) -> None:
+async def _pass_whole(entry: Entry, ask: Job, whole: Whole, sink: Sink, started: float) -> None:
     """Send an answer that was read before."""
     first_s = clock.now() - started
     await _begin(entry, ask, whole.run, sink)
@@ -176,7 +176,7 @@
 
 
 async def pass_on(
-    entry: Entry, ask: Ask, run: Running, sink: Sink, started: float
+    entry: Entry, ask: Job, run: Running, sink: Sink, started: float
 ) -> Refusal | None:
     """Send an answer while it comes.  Of a caller who leaves, the agent sees no reader."""
     pieces: list[str] = []
@@ -218,7 +218,7 @@
 
 
 async def _broke(
-    entry: Entry, ask: Ask, sink: Sink, ref: Refusal, first_s: float | None
+    entry: Entry, ask: Job, sink: Sink, ref: Refusal, first_s: float | None
 ) -> Refusal | None:
     """The answer can't be ended: a refusal if nothing was sent, else an error within it."""
     if not sink.started:
@@ -228,7 +228,7 @@
     return None
 
 
-async def _begin(entry: Entry, ask: Ask, run: Running, sink: Sink) -> None:
+async def _begin(entry: Entry, ask: Job, run: Running, sink: Sink) -> None:
     assert entry.conf.doc is not None
     keys = entry.conf.doc["session_keys"]
     held = ask.session
@@ -251,7 +251,7 @@
     await sink.begin(run.request_id, run.mv, mint_token(keys, session), mint_token(keys, place))
 
 
-async def _settle(entry: Entry, ask: Ask, run: Running, end: End, text: str) -> None:
+async def _settle(entry: Entry, ask: Job, run: Running, end: End, text: str) -> None:
     """Bill, charge and hand in for rating an attempt that has ended."""
     logger.bind(request=run.request_id, workspace=ask.ws["name"]).info(
         "{} {} {} tokens {}", run.mv.text, end["state"], end["tokens_out"], end["reason"]
--- a/ramppost/entry/obtain.py
+++ b/ramppost/entry/start.py
@@ -9,10 +9,10 @@
 from typing import Final
 
 from ramppost import clock
-from ramppost.entry.ask import Ask
 from ramppost.entry.dispatch import NotRun, Outcome, Running, Unknown, run_msg, send_run
-from ramppost.entry.keyed import obtain_keyed
-from ramppost.entry.obtained import LEAST_RETRY_S, Obtained, Reroute, own, refused
+from ramppost.entry.job import Job
+from ramppost.entry.keyed import start_keyed_run
+from ramppost.entry.start_result import LEAST_RETRY_S, Reroute, StartResult, own, refused
 from ramppost.entry.state import Entry
 from ramppost.errors import refusal
 from ramppost.policy.bills import attempt_id
@@ -22,16 +22,16 @@
 FREE_RETRIES: Final = ("leaving", "wrong_incarnation", "behind", "unreachable")
 
 
-async def obtain(
-    entry: Entry, ask: Ask, mv: ModelVersion, stage: int, turn: int, deadline: float
-) -> Obtained:
+async def start_run(
+    entry: Entry, ask: Job, mv: ModelVersion, stage: int, turn: int, deadline: float
+) -> StartResult:
     """An answer running for this request, by a version.
 
     `stage` counts within a cascade; `turn` is the first number free for attempts.
     """
     entry.retries.record_try()
     if ask.key:
-        return await obtain_keyed(entry, ask, mv, stage, deadline)
+        return await start_keyed_run(entry, ask, mv, stage, deadline)
     ups = entry.ups.choose(mv, ask.service, ask.prefix)
     out: Outcome = NotRun("no_upstream", LEAST_RETRY_S)
     for number, up in enumerate(ups[:MAX_TRIES]):
--- a/ramppost/entry/obtained.py
+++ b/ramppost/entry/start_result.py
@@ -18,7 +18,7 @@
     reason: str
 
 
-Obtained = Running | Refusal | Reroute
+StartResult = Running | Refusal | Reroute
 
 
 def own(run: Running, request_id: str) -> Running:
--- a/ramppost/entry/shunned.py
+++ b/ramppost/entry/unresponsive.py
@@ -9,7 +9,7 @@
 SHUN_S: Final = 3.0
 
 
-class Shunned:
+class UnresponsiveEntries:
     """Addresses that are passed over now."""
 
     def __init__(self) -> None:
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -12,7 +12,7 @@
 import httpx
 
 from ramppost import clock
-from ramppost.entry.keyed import PLATFORM_RETRY_S
+from ramppost.entry.keyed import CLAIM_RETRY_AFTER_S
 from tests.harness.cluster import Cluster
 from tests.harness.operator import carried_out
 from tests.harness.oracle import Told, runs_of, told
@@ -237,7 +237,7 @@
         heard += Caller(cluster, name, key).heard()
     assert [word.ran for word in heard[1:]] == ["unknown"] * 2, heard
     cluster.fault("platform", mode="none")
-    time.sleep(PLATFORM_RETRY_S)
+    time.sleep(CLAIM_RETRY_AFTER_S)
     return heard
 
 
--- a/tests/harness/ablated.py
+++ b/tests/harness/ablated.py
@@ -68,13 +68,13 @@
 def no_frame_checks() -> None:
     """Pieces are passed on whatever their attempt and number."""
 
-    async def next_frame(run: Any) -> Any:
+    async def read_frame(run: Any) -> Any:
         try:
             line = await run.stream.read_line()
         except OSError as exc:
-            return dispatch.Cut(str(exc))
+            return dispatch.ReadFailure(str(exc))
         frame = decode(line, dispatch.Frame)
-        return frame if isinstance(frame, dict) else dispatch.Cut("malformed")
+        return frame if isinstance(frame, dict) else dispatch.ReadFailure("malformed")
 
     async def read_head(entry: Any, stream: Any, addr: Any, attempt: str, n: int, mv: Any) -> Any:
         head = decode(await stream.read_line(), dispatch.Head)
@@ -82,7 +82,7 @@
             return dispatch.Unknown("malformed")
         return dispatch.Running(stream, addr, head | {"attempt": attempt}, mv, n)
 
-    dispatch.next_frame = next_frame
+    dispatch.read_frame = read_frame
     dispatch._read_head = read_head
 
 
@@ -120,8 +120,13 @@
 
 def no_sessions() -> None:
     """A session token does not hold its version."""
-    route._held = lambda ask, doc: route.Route(  # type: ignore[assignment]
-        [route.PickedVersion(ask.wanted if ask.wanted.version else _newest(doc), False)], None
+    route._route_session = lambda ask, doc: route.Route(  # type: ignore[assignment]
+        [
+            route.PickedVersion(
+                ask.requested_version if ask.requested_version.version else _newest(doc), False
+            )
+        ],
+        None,
     )
 
 
