--- a/ramppost/policy/ramp.py
+++ b/ramppost/policy/ramp.py
@@ -57,7 +57,7 @@
 
 
 class SessionPin(NamedTuple):
-    """The version a session last ran on, and when (monotonic clock)."""
+    """The version a session last ran on, and when (steady clock)."""
 
     version: str
     at: float
