--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -12,11 +12,11 @@
 from typing import Final, NamedTuple
 
 from ramppost.confsync import PEER_PERIOD_S, WATCH_S
-from ramppost.entry.claimhome import MAX_TOLD, READ_PERIOD_S, READERS
+from ramppost.entry.claimhome import MAX_KNOWN_CLAIMS, READ_PERIOD_S, READERS_PER_SHARD
 from ramppost.entry.claimlog import RETENTION_S
 from ramppost.entry.copies import SEND_PERIOD_S
-from ramppost.entry.rollouts import CALM_PERIOD_S, RATINGS_PERIOD_S
-from ramppost.entry.upstreams import BOXES_PERIOD_S, IDLE_POLLS, POLL_S
+from ramppost.entry.rollouts import IDLE_RATINGS_PERIOD_S, RATINGS_PERIOD_S
+from ramppost.entry.upstreams import BOX_LIST_PERIOD_S, MAX_IDLE_POLLS, POLL_PERIOD_S
 from ramppost.policy.claims import MAX_HEAD_RECORDS, SHARDS
 
 DOCS: Final = Path(__file__).parents[1] / "docs"
@@ -53,8 +53,8 @@
 HEADERS_BYTES: Final = 250
 
 # Settings and constants of the code.
-POLLS_S: Final = IDLE_POLLS / POLL_S
-BOXES_S: Final = BOXES_PERIOD_S
+POLLS_S: Final = MAX_IDLE_POLLS / POLL_PERIOD_S
+BOXES_S: Final = BOX_LIST_PERIOD_S
 PEER_S: Final = PEER_PERIOD_S
 BILL_WINDOW_S: Final = 30
 CLAIM_WINDOW_MS: Final = 10
@@ -138,7 +138,14 @@
 def entry_messages() -> float:
     """Control messages a second at an entry, sent and received."""
     polls = min(POLLS_S, POOLS * SUBSET)
-    own = polls + 1 / PEER_S + 1 / BOXES_S + 1 / CALM_PERIOD_S + 1 / WATCH_S + 1 / BILL_WINDOW_S
+    own = (
+        polls
+        + 1 / PEER_S
+        + 1 / BOXES_S
+        + 1 / IDLE_RATINGS_PERIOD_S
+        + 1 / WATCH_S
+        + 1 / BILL_WINDOW_S
+    )
     asked = (1 + RUNNERS / NODES) / PEER_S
     claims = 2 * KEYED_S / NODES
     return own + asked + claims + 2 / SEND_PERIOD_S
@@ -147,7 +154,7 @@
 def entry_state_mb(s: dict[str, float]) -> float:
     """What an entry keeps: configuration, box list, claims that it was told of."""
     boxes = (RUNNERS + NODES) * s["box_bytes"]
-    return (config_bytes(s) + boxes + MAX_TOLD * s["claim_memory"]) / 1e6
+    return (config_bytes(s) + boxes + MAX_KNOWN_CLAIMS * s["claim_memory"]) / 1e6
 
 
 def entry_role(s: dict[str, float]) -> Role:
@@ -186,7 +193,7 @@
                 "MB",
                 0,
                 "derived",
-                f"configuration, box list, at most {MAX_TOLD} claims told of; none by session",
+                f"configuration, box list, at most {MAX_KNOWN_CLAIMS} claims told of; none by session",
             ),
             Line(
                 "memory",
@@ -213,7 +220,7 @@
     start = SHARD_RECORDS_S * RETENTION_S * record_bytes(s) / 1e6
     cpu = (SHARD_RECORDS_S * s["serve_cpu"] + COMMITS_S * s["call_cpu"]) / 1e6
     return Role(
-        f"Home and deputy of a claim shard ({READERS * SHARDS} of the entries, besides the above)",
+        f"Home and deputy of a claim shard ({READERS_PER_SHARD * SHARDS} of the entries, besides the above)",
         [
             Line(
                 "control CPU, home",
@@ -346,7 +353,7 @@
     """What the platform's service bears."""
     everyone = NODES + RUNNERS
     steady = everyone / WATCH_S + NODES / BOXES_S + CLOSED_S + SHARDS / READ_PERIOD_S
-    calm = steady + NODES / CALM_PERIOD_S
+    calm = steady + NODES / IDLE_RATINGS_PERIOD_S
     rolling = steady + NODES / RATINGS_PERIOD_S
     storm = everyone / HALLS * 4 / IN_FORCE_S
     burst = everyone * config_bytes(s) / 1e6
--- a/ramppost/entry/callers.py
+++ b/ramppost/entry/callers.py
@@ -8,7 +8,7 @@
 from ramppost.entry.dispatch import Running, resolve
 from ramppost.entry.job import KEY_HEADER, Job, read_chat, read_service, workspace_for
 from ramppost.entry.keyed import key_of
-from ramppost.entry.operators import operators
+from ramppost.entry.operators import handle_operator_request
 from ramppost.entry.serve import pass_on, serve_ask
 from ramppost.entry.sink import STREAM_HEADER, Sink, StreamSink, WholeSink, send_refusal
 from ramppost.entry.state import Entry
@@ -43,7 +43,7 @@
         elif req.path in ("/v1/models", CHAT_PATH) or req.path.startswith("/services/"):
             await _caller(entry, doc, req, reply)
         else:
-            await operators(entry, doc, req, reply)
+            await handle_operator_request(entry, doc, req, reply)
 
     return handle
 
@@ -83,10 +83,10 @@
     name = ws["name"]
     if entry.leaving:
         return refusal("leaving", "this entry is stopping", 1.0)
-    wait_s = entry.bucket(ws).wait_s(clock.now())
+    wait_s = entry.token_bucket(ws).wait_s(clock.now())
     if wait_s > 0:
         return refusal("limited", f"workspace {name} is over its tokens", wait_s)
-    if entry.running.get(name, 0) >= ws["concurrency"]:
+    if entry.running_by_workspace.get(name, 0) >= ws["concurrency"]:
         return refusal("limited", f"workspace {name} is over its concurrency", 0.5)
     return None
 
@@ -98,19 +98,19 @@
     if ref is not None:
         await _refuse(entry, ask, ref, reply)
         return
-    entry.running[name] = entry.running.get(name, 0) + 1
+    entry.running_by_workspace[name] = entry.running_by_workspace.get(name, 0) + 1
     try:
         ref = await _served(entry, ask, req, reply)
         if ref is not None:
             await _refuse(entry, ask, ref, reply)
     finally:
-        entry.running[name] -= 1
+        entry.running_by_workspace[name] -= 1
 
 
 async def _refuse(entry: Entry, ask: Job, ref: Refusal, reply: Reply) -> None:
     """Send the final word; "not run" of a key that was not looked up yet is checked first."""
     if ask.key and ref.ran == "no" and not ask.trace.claimed:
-        ref = ref._replace(ran=await entry.homes.ran(key_of(ask)))
+        ref = ref._replace(ran=await entry.claim_homes.lookup_ran(key_of(ask)))
     bound = logger.bind(request=ask.request_id, workspace=ask.ws["name"])
     bound.info("refused: {} ran={}", ref.code, ref.ran)
     await send_refusal(reply, ref, ask.request_id)
--- a/ramppost/entry/changes.py
+++ b/ramppost/entry/changes.py
@@ -19,7 +19,7 @@
 from ramppost.wire.codec import BadMessage, decode, encode
 
 HISTORY_PREFIX: Final = "history/"
-TRIES: Final = 5
+MAX_TRIES: Final = 5
 RETRY_S: Final = 0.3
 
 
@@ -42,73 +42,73 @@
     written: bool
 
 
-async def change(
+async def apply_change(
     entry: Entry, base: int, doc: ConfigDoc, plan_id: str, by: str
 ) -> Applied | Stale | InDoubt:
     """Put a new document in the place of revision `base`."""
-    fresh = doc.copy()
-    fresh["revision"] = base + 1
-    fresh["plan_id"] = plan_id
-    fresh["changed_by"] = by
+    new_doc = doc.copy()
+    new_doc["revision"] = base + 1
+    new_doc["plan_id"] = plan_id
+    new_doc["changed_by"] = by
     reason, written = "", False
-    for number in range(TRIES):
-        if number:
+    for attempt in range(MAX_TRIES):
+        if attempt:
             await curio.sleep(RETRY_S)
-        held = await get(entry.client, CONFIG_KEY, ConfigDoc)
-        if isinstance(held, Absent):
+        current = await get(entry.client, CONFIG_KEY, ConfigDoc)
+        if isinstance(current, Absent):
             return InDoubt("no configuration in the platform", False)
-        if isinstance(held, Unavailable):
-            reason = held.reason
+        if isinstance(current, Unavailable):
+            reason = current.reason
             continue
-        done = await _already(entry, held.value, base, plan_id)
-        if done is not None:
-            return done
-        kept = await _keep_history(entry, held.value)
-        if isinstance(kept, Unavailable):
-            reason = kept.reason
+        earlier = await _earlier_outcome(entry, current.value, base, plan_id)
+        if earlier is not None:
+            return earlier
+        history_write = await _write_history(entry, current.value)
+        if isinstance(history_write, Unavailable):
+            reason = history_write.reason
             continue
-        out = await put(entry.client, CONFIG_KEY, fresh, held.version)
+        out = await put(entry.client, CONFIG_KEY, new_doc, current.version)
         if isinstance(out, Written):
-            entry.conf.adopt(fresh, "own change")
-            return Applied(fresh["revision"])
+            entry.conf.adopt(new_doc, "own change")
+            return Applied(new_doc["revision"])
         if isinstance(out, Unavailable):
             reason, written = out.reason, written or out.sent
     return InDoubt(reason or "contended", written)
 
 
-async def _already(
-    entry: Entry, held: ConfigDoc, base: int, plan_id: str
+async def _earlier_outcome(
+    entry: Entry, current: ConfigDoc, base: int, plan_id: str
 ) -> Applied | Stale | None:
     """What stands against writing; None if nothing does."""
-    if held["plan_id"] == plan_id:
-        entry.conf.adopt(held, "platform")
-        return Applied(held["revision"])
-    if held["revision"] == base:
+    if current["plan_id"] == plan_id:
+        entry.conf.adopt(current, "platform")
+        return Applied(current["revision"])
+    if current["revision"] == base:
         return None
-    past = await history(entry)
-    if not isinstance(past, Unavailable):
-        for line in past:
+    former = await read_history(entry)
+    if not isinstance(former, Unavailable):
+        for line in former:
             if line["plan_id"] == plan_id:
                 return Applied(line["revision"])
-    entry.conf.adopt(held, "platform")
-    return Stale(held)
+    entry.conf.adopt(current, "platform")
+    return Stale(current)
 
 
-async def _keep_history(entry: Entry, held: ConfigDoc) -> Unavailable | None:
-    line = line_of(held)
-    key = f"{HISTORY_PREFIX}{held['revision']:08d}"
+async def _write_history(entry: Entry, current: ConfigDoc) -> Unavailable | None:
+    line = history_line(current)
+    key = f"{HISTORY_PREFIX}{current['revision']:08d}"
     out = await put(entry.client, key, line, None)
     return out if isinstance(out, Unavailable) else None
 
 
-def line_of(doc: ConfigDoc) -> HistoryLine:
+def history_line(doc: ConfigDoc) -> HistoryLine:
     """The history's line of a document."""
     return HistoryLine(
         revision=doc["revision"], plan_id=doc["plan_id"], changed_by=doc["changed_by"]
     )
 
 
-async def history(entry: Entry) -> list[HistoryLine] | Unavailable:
+async def read_history(entry: Entry) -> list[HistoryLine] | Unavailable:
     """Which plan made each former revision, oldest first."""
     lines: list[HistoryLine] = []
     after = ""
--- a/ramppost/entry/claimhome.py
+++ b/ramppost/entry/claimhome.py
@@ -19,7 +19,7 @@
 
 from ramppost import clock, ids
 from ramppost.entry.claimlog import (
-    GIVE_UP_S,
+    COMMIT_TIMEOUT_S,
     ClaimLog,
     Free,
     Granted,
@@ -37,11 +37,11 @@
 
 CLAIM_PATH: Final = "/x/claim"
 PEEK_PATH: Final = "/x/peek"
-ASK_TIMEOUT_S: Final = GIVE_UP_S + 0.5
-READERS: Final = 2
-MAX_TOLD: Final = 10_000
+CALL_TIMEOUT_S: Final = COMMIT_TIMEOUT_S + 0.5
+READERS_PER_SHARD: Final = 2
+MAX_KNOWN_CLAIMS: Final = 10_000
 READ_PERIOD_S: Final = 5.0
-BOXES_POLL_S: Final = 0.1
+BOX_LIST_POLL_S: Final = 0.1
 
 RAN_BY_STATE: Final[dict[str, Ran]] = {"open": "unknown", "done": "yes", "not_run": "no"}
 
@@ -49,116 +49,122 @@
 class ClaimHomes:
     """Takes claims through their shards' homes."""
 
-    def __init__(self, log: ClaimLog, ups: Upstreams, pool: Pool, me: str) -> None:
-        self.log = log
-        self.ups = ups
+    def __init__(
+        self, claim_log: ClaimLog, upstreams: Upstreams, pool: Pool, entry_name: str
+    ) -> None:
+        self.claim_log = claim_log
+        self.upstreams = upstreams
         self.pool = pool
-        self.me = ids.address(me)
-        self.shunned = UnresponsiveEntries()
-        self.noting = 0
-        self.told = Shard()
-        self.read_once = False
+        self.own_addr = ids.address(entry_name)
+        self.unresponsive = UnresponsiveEntries()
+        self.pending_ends = 0
+        self.known_claims = Shard()
+        self.logs_read = False
 
-    def ranked(self, shard: int) -> list[str]:
+    def readers(self, shard: int) -> list[str]:
         """Addresses of a shard's home and deputy."""
-        ordered = self.ups.ordered("claim-home", str(shard))
-        return list(islice((addr for addr in ordered if addr not in self.shunned), READERS))
+        ordered = self.upstreams.ranked_entries("claim-home", str(shard))
+        return list(
+            islice((addr for addr in ordered if addr not in self.unresponsive), READERS_PER_SHARD)
+        )
 
     async def claim(self, claim: Claim) -> Outcome:
         """Take a claim; the outcome is final."""
         out = await self._claim(claim)
         if isinstance(out, Granted):
-            self.told.add_claim(claim)
+            self.known_claims.add_claim(claim)
         elif isinstance(out, Taken):
-            self.told.add_claim(out.held)
+            self.known_claims.add_claim(out.held)
         return out
 
     async def _claim(self, claim: Claim) -> Outcome:
-        out = await self._asked(shard_of(claim["key"]), CLAIM_PATH, claim)
+        out = await self._ask_in_order(shard_of(claim["key"]), CLAIM_PATH, claim)
         assert not isinstance(out, Free)
         if isinstance(out, Taken) and out.held["nonce"] == claim["nonce"]:
             return Granted()
-        held = self.told.conflicting_claim(claim) if isinstance(out, NoClaim) else None
+        held = self.known_claims.conflicting_claim(claim) if isinstance(out, NoClaim) else None
         return out if held is None else Taken(held)
 
-    async def ran(self, key: str) -> Ran:
+    async def lookup_ran(self, key: str) -> Ran:
         """What can truly be said of a key that was not claimed now: whether it ever ran."""
-        out = await self._asked(shard_of(key), PEEK_PATH, PeekMsg(key=key))
+        out = await self._ask_in_order(shard_of(key), PEEK_PATH, PeekMsg(key=key))
         if isinstance(out, Taken):
             return RAN_BY_STATE[out.held["state"]]
-        told = self.told.get(key)
+        told = self.known_claims.get(key)
         if isinstance(out, NoClaim) and told is not None:
             return RAN_BY_STATE[told["state"]]
         return "unknown" if isinstance(out, NoClaim) and not out.sure else "no"
 
-    async def _asked(self, shard: int, path: str, msg: Claim | PeekMsg) -> Outcome | Free:
+    async def _ask_in_order(self, shard: int, path: str, msg: Claim | PeekMsg) -> Outcome | Free:
         """What the home says; where it can't say, the deputy; then this entry's own log."""
-        ranks = self.ranked(shard)
+        ranks = self.readers(shard)
         sure, reason = True, ""
-        for addr in ranks if self.me in ranks else [*ranks, self.me]:
-            out = await (self.own(msg) if addr == self.me else self._ask(addr, path, msg))
+        for addr in ranks if self.own_addr in ranks else [*ranks, self.own_addr]:
+            out = await (
+                self.ask_own_log(msg) if addr == self.own_addr else self._ask_entry(addr, path, msg)
+            )
             if not isinstance(out, NoClaim):
                 return out
             sure, reason = sure and out.sure, out.reason
         return NoClaim(reason, sure)
 
-    async def own(self, msg: Claim | PeekMsg) -> Outcome | Free:
+    async def ask_own_log(self, msg: Claim | PeekMsg) -> Outcome | Free:
         """What this entry's own log says."""
         if "nonce" in msg:
-            return await self.log.claim(msg)
-        return await self.log.peek(msg["key"])
+            return await self.claim_log.claim(msg)
+        return await self.claim_log.lookup(msg["key"])
 
-    async def note(self, claim: Claim) -> None:
+    async def record_end(self, claim: Claim) -> None:
         """Record the end of a claim of ours; nobody waits for it."""
-        self.noting += 1
-        self.told.add_claim(claim)
-        await curio.spawn(self._note, claim, daemon=True)
+        self.pending_ends += 1
+        self.known_claims.add_claim(claim)
+        await curio.spawn(self._write_end, claim, daemon=True)
 
     @property
     def idle(self) -> bool:
         """Whether nothing is on its way."""
-        return not self.noting and self.log.idle
+        return not self.pending_ends and self.claim_log.idle
 
-    async def _note(self, claim: Claim) -> None:
+    async def _write_end(self, claim: Claim) -> None:
         try:
             await self.claim(claim)
         finally:
-            self.noting -= 1
+            self.pending_ends -= 1
 
-    async def keep_read(self) -> None:
+    async def follow_logs(self) -> None:
         """Keep the logs of this entry's shards read, until cancelled."""
-        while not self.ups.boxes:
-            await curio.sleep(BOXES_POLL_S)
+        while not self.upstreams.boxes:
+            await curio.sleep(BOX_LIST_POLL_S)
         while True:
             for shard in range(SHARDS):
-                ranks = self.ranked(shard)
-                if self.me in ranks:
-                    await self._keep_one(shard)
-                if self.me == ranks[0]:
-                    await self.log.expire(shard)
-            self.read_once = True
-            self.told.trim(MAX_TOLD)
+                ranks = self.readers(shard)
+                if self.own_addr in ranks:
+                    await self._refresh(shard)
+                if self.own_addr == ranks[0]:
+                    await self.claim_log.expire(shard)
+            self.logs_read = True
+            self.known_claims.trim(MAX_KNOWN_CLAIMS)
             await curio.sleep(READ_PERIOD_S)
 
-    async def _keep_one(self, shard: int) -> None:
-        age_s = clock.now() - self.log.read_at.get(shard, -READ_PERIOD_S)
+    async def _refresh(self, shard: int) -> None:
+        age_s = clock.now() - self.claim_log.read_at.get(shard, -READ_PERIOD_S)
         if age_s >= READ_PERIOD_S:
-            await self.log.read(shard)
+            await self.claim_log.read_shard(shard)
 
-    async def _ask(self, addr: str, path: str, msg: Claim | PeekMsg) -> Outcome | Free:
+    async def _ask_entry(self, addr: str, path: str, msg: Claim | PeekMsg) -> Outcome | Free:
         """What another entry says; one that gives no answer is not asked for a while."""
-        got = await call(self.pool, addr, "POST", path, encode(msg), ASK_TIMEOUT_S)
+        got = await call(self.pool, addr, "POST", path, encode(msg), CALL_TIMEOUT_S)
         if isinstance(got, CallFailed):
             reply: ClaimReply | BadMessage = BadMessage(got.reason)
         else:
             reply = decode(got.body, ClaimReply)
         if isinstance(reply, BadMessage):
-            self.shunned.add(addr)
+            self.unresponsive.add(addr)
             return NoClaim(f"entry {addr} gave no answer", False)
-        return _outcome(reply)
+        return _outcome_from_reply(reply)
 
 
-def _outcome(reply: ClaimReply) -> Outcome | Free:
+def _outcome_from_reply(reply: ClaimReply) -> Outcome | Free:
     """What an entry told, as an outcome."""
     if reply["outcome"] == "granted":
         return Granted()
@@ -169,7 +175,7 @@
     return NoClaim(reply["reason"], reply.get("sure", False))
 
 
-def reply_of(out: Outcome | Free) -> ClaimReply:
+def reply_from_outcome(out: Outcome | Free) -> ClaimReply:
     """An outcome as an entry tells it."""
     if isinstance(out, Granted):
         return ClaimReply(outcome="granted", reason="")
--- a/ramppost/entry/claimlog.py
+++ b/ramppost/entry/claimlog.py
@@ -3,7 +3,7 @@
 Claims of a shard wait a moment for each other, then go as one group into the head
 of the shard's log (see `ramppost.policy.claims`); they wait longer while the platform
 is busy, so that more share a write.  A write whose reply is lost is read back by its
-nonce.  Where the platform can't say within `GIVE_UP_S`, the claims are not granted,
+nonce.  Where the platform can't say within `COMMIT_TIMEOUT_S`, the claims are not granted,
 and for a moment nobody waits for the next try either.
 
 A claim that is known to stand is told at once, without the platform.  So a key
@@ -34,17 +34,17 @@
 from ramppost.schema.messages import Claim, ClaimSegment
 from ramppost.wire.codec import BadMessage, decode, encode
 
-GIVE_UP_S: Final = 1.5
+COMMIT_TIMEOUT_S: Final = 1.5
 RETRY_S: Final = 0.1
 RETENTION_S: Final = 7200
-MAX_GROUP: Final = 500
-EXPIRE_GROUP: Final = 20
-MAX_ABANDONED: Final = 10_000
-DOWN_S: Final = 1.0
-BUSY_MIN_S: Final = 0.04
-BUSY_MAX_S: Final = 0.5
-BUSY_DECAY: Final = 0.95
-FRESH_S: Final = 1.0
+MAX_GROUP_CLAIMS: Final = 500
+MAX_EXPIRED_PER_CALL: Final = 20
+MAX_ABANDONED_REQUESTS: Final = 10_000
+UNAVAILABLE_S: Final = 1.0
+BUSY_DELAY_MIN_S: Final = 0.04
+BUSY_DELAY_MAX_S: Final = 0.5
+BUSY_DELAY_DECAY: Final = 0.95
+MAX_READ_AGE_S: Final = 1.0
 
 
 class Granted(NamedTuple):
@@ -74,29 +74,29 @@
 Outcome = Granted | Taken | NoClaim
 
 
-class Write(Enum):
+class WriteResult(Enum):
     """What became of a write: it stands, it may not, or the platform had no room for it."""
 
     DONE = "done"
-    DOUBT = "doubt"
+    IN_DOUBT = "doubt"
     BUSY = "busy"
 
 
-class _Pending:
+class _PendingClaim:
     def __init__(self, claim: Claim) -> None:
         self.claim = claim
-        self.until = clock.now() + GIVE_UP_S
+        self.deadline = clock.now() + COMMIT_TIMEOUT_S
         self.outcome: Outcome | None = None
-        self.decided = curio.Event()
+        self.resolved = curio.Event()
 
-    async def decide(self, outcome: Outcome) -> None:
+    async def resolve(self, outcome: Outcome) -> None:
         self.outcome = outcome
-        await self.decided.set()
+        await self.resolved.set()
 
 
-def _one_a_key(group: list[_Pending]) -> list[_Pending]:
+def _first_per_key(group: list[_PendingClaim]) -> list[_PendingClaim]:
     """The first of each key; the others hear of it only once it is written."""
-    first: dict[str, _Pending] = {}
+    first: dict[str, _PendingClaim] = {}
     for pending in group:
         first.setdefault(pending.claim["key"], pending)
     return list(first.values())
@@ -108,17 +108,17 @@
     def __init__(self, client: Client, window_s: float, retention_s: float = RETENTION_S) -> None:
         self.client = client
         self.window_s = window_s
-        self.busy_s = window_s
+        self.group_delay_s = window_s
         self.retention_s = retention_s
         self.shards: dict[int, Shard] = {}
-        self.queues: dict[int, list[_Pending]] = {}
-        self.writing: set[int] = set()
-        self.abandoned: set[str] = set()
-        self.groups = 0
+        self.queues: dict[int, list[_PendingClaim]] = {}
+        self.writing_shards: set[int] = set()
+        self.abandoned_requests: set[str] = set()
+        self.groups_written = 0
         self.read_at: dict[int, float] = {}
-        self.down_until = 0.0
+        self.unavailable_until = 0.0
 
-    def held(self, claim: Claim) -> Taken | None:
+    def known_conflict(self, claim: Claim) -> Taken | None:
         """What is known, without asking, to stand against a claim."""
         state = self.shards.get(shard_of(claim["key"]))
         found = state.conflicting_claim(claim) if state else None
@@ -126,63 +126,63 @@
 
     async def claim(self, claim: Claim) -> Outcome:
         """Take a claim; the outcome is final."""
-        taken = self.held(claim)
+        taken = self.known_conflict(claim)
         if taken is not None:
             return taken
-        if clock.now() < self.down_until:
+        if clock.now() < self.unavailable_until:
             return self._no_claim(claim, "the platform gave no answer a moment ago")
-        pending = _Pending(claim)
-        await self._queue(pending)
-        await pending.decided.wait()
+        pending = _PendingClaim(claim)
+        await self._enqueue(pending)
+        await pending.resolved.wait()
         assert pending.outcome is not None
         return pending.outcome
 
     def _no_claim(self, claim: Claim, reason: str) -> NoClaim:
-        if len(self.abandoned) >= MAX_ABANDONED:
-            self.abandoned.clear()
-        self.abandoned.add(claim["request_id"])
+        if len(self.abandoned_requests) >= MAX_ABANDONED_REQUESTS:
+            self.abandoned_requests.clear()
+        self.abandoned_requests.add(claim["request_id"])
         return NoClaim(reason, shard_of(claim["key"]) in self.shards)
 
-    async def peek(self, key: str) -> Taken | Free | NoClaim:
+    async def lookup(self, key: str) -> Taken | Free | NoClaim:
         """Whether a claim of a key stands, by the log as it was a moment ago at most."""
         shard = shard_of(key)
-        if clock.now() - self.read_at.get(shard, -FRESH_S) >= FRESH_S:
-            await self.read(shard)
+        if clock.now() - self.read_at.get(shard, -MAX_READ_AGE_S) >= MAX_READ_AGE_S:
+            await self.read_shard(shard)
         state = self.shards.get(shard)
         if state is None:
             return NoClaim("claims not read", False)
         found = state.get(key)
         return Taken(found) if found is not None else Free()
 
-    async def read(self, shard: int) -> bool:
+    async def read_shard(self, shard: int) -> bool:
         """Read a shard's log to its end; false where the platform can't be read."""
-        state = await self._loaded(shard)
+        state = await self._load(shard)
         return state is not None and await self._catch_up(shard, state) is not None
 
     @property
     def idle(self) -> bool:
         """Whether nothing is on its way."""
-        return not self.writing
+        return not self.writing_shards
 
-    async def _queue(self, pending: _Pending) -> None:
+    async def _enqueue(self, pending: _PendingClaim) -> None:
         shard = shard_of(pending.claim["key"])
         self.queues.setdefault(shard, []).append(pending)
-        if shard not in self.writing:
-            self.writing.add(shard)
+        if shard not in self.writing_shards:
+            self.writing_shards.add(shard)
             await curio.spawn(self._write_shard, shard, daemon=True)
 
     async def _write_shard(self, shard: int) -> None:
         """Write groups of a shard until none waits."""
         while self.queues.get(shard):
-            await curio.sleep(self.busy_s)
-            group = self.queues[shard][:MAX_GROUP]
-            self.queues[shard] = self.queues[shard][MAX_GROUP:]
-            async with curio.ignore_after(GIVE_UP_S):
-                await self._commit(shard, group)
-            await self._give_up(shard, group)
-        self.writing.discard(shard)
-
-    async def _give_up(self, shard: int, group: list[_Pending]) -> None:
+            await curio.sleep(self.group_delay_s)
+            group = self.queues[shard][:MAX_GROUP_CLAIMS]
+            self.queues[shard] = self.queues[shard][MAX_GROUP_CLAIMS:]
+            async with curio.ignore_after(COMMIT_TIMEOUT_S):
+                await self._commit_group(shard, group)
+            await self._fail_undecided(shard, group)
+        self.writing_shards.discard(shard)
+
+    async def _fail_undecided(self, shard: int, group: list[_PendingClaim]) -> None:
         """Tell those of a group who are undecided that there is no claim.
 
         Those who are in line again go on waiting, if their time is not up.
@@ -190,39 +190,43 @@
         now = clock.now()
         waiting = set(self.queues[shard])
         lost = [p for p in group if p.outcome is None and p not in waiting]
-        late = [p for p in self.queues[shard] if p.until <= now]
-        self.queues[shard] = [p for p in self.queues[shard] if p.until > now]
+        late = [p for p in self.queues[shard] if p.deadline <= now]
+        self.queues[shard] = [p for p in self.queues[shard] if p.deadline > now]
         if lost:
-            self.down_until = now + DOWN_S
+            self.unavailable_until = now + UNAVAILABLE_S
         if lost or late:
             logger.warning("{} claims not taken: no answer in time", len(lost) + len(late))
         for pending in (*lost, *late):
             reason = "the platform gave no answer in time"
-            await pending.decide(self._no_claim(pending.claim, reason))
+            await pending.resolve(self._no_claim(pending.claim, reason))
 
-    async def _commit(self, shard: int, group: list[_Pending]) -> None:
-        """Write a group, again and again until it stands, all of it is taken, or it must wait."""
+    async def _commit_group(self, shard: int, group: list[_PendingClaim]) -> None:
+        """Write a group until it is stored, all of it is taken, or it must be queued again."""
         nonce = secrets.token_hex(8)
-        while (state := await self._loaded(shard)) is not None:
-            group = await self._turn_away_taken(state, group)
+        while (state := await self._load(shard)) is not None:
+            group = await self._reject_conflicting(state, group)
             if not group:
                 return
-            first = _one_a_key(group)
-            written = await self._written(shard, state, nonce, [p.claim for p in first])
-            if written is Write.BUSY:
-                self.busy_s = min(BUSY_MAX_S, max(BUSY_MIN_S, self.busy_s * 2))
+            first = _first_per_key(group)
+            written = await self._write_group(shard, state, nonce, [p.claim for p in first])
+            if written is WriteResult.BUSY:
+                self.group_delay_s = min(
+                    BUSY_DELAY_MAX_S, max(BUSY_DELAY_MIN_S, self.group_delay_s * 2)
+                )
                 self.queues[shard][:0] = group
                 return
-            if written is Write.DONE:
-                self.busy_s = max(self.window_s, self.busy_s * BUSY_DECAY)
-                self.groups += 1
+            if written is WriteResult.DONE:
+                self.group_delay_s = max(self.window_s, self.group_delay_s * BUSY_DELAY_DECAY)
+                self.groups_written += 1
                 for pending in first:
-                    await pending.decide(Granted())
+                    await pending.resolve(Granted())
                 rest = [p for p in group if p.outcome is None]
-                self.queues[shard][:0] = await self._turn_away_taken(state, rest)
+                self.queues[shard][:0] = await self._reject_conflicting(state, rest)
                 return
 
-    async def _written(self, shard: int, state: Shard, nonce: str, claims: list[Claim]) -> Write:
+    async def _write_group(
+        self, shard: int, state: Shard, nonce: str, claims: list[Claim]
+    ) -> WriteResult:
         """Add a group at the log's end."""
         head, version = state.head, state.head_version
         segment = state.next_head(nonce, claims)
@@ -230,31 +234,33 @@
         if full:
             closed = await put(self.client, segment_key(shard, head["seq"]), head, None)
             if isinstance(closed, Unavailable):
-                return Write.BUSY if closed.busy else Write.DOUBT
+                return WriteResult.BUSY if closed.busy else WriteResult.IN_DOUBT
         out = await put(self.client, head_key(shard), segment, version)
         if isinstance(out, Written):
             if full:
                 state.add_closed_segment(head, clock.now())
             state.update_head(segment, out.version)
             self.read_at[shard] = clock.now()
-            return Write.DONE
+            return WriteResult.DONE
         if isinstance(out, Unavailable):
             if out.busy:
-                return Write.BUSY
+                return WriteResult.BUSY
             logger.info("claims of shard {} in doubt: {}", shard, out.reason)
             await curio.sleep(RETRY_S)
         nonces = await self._catch_up(shard, state)
-        return Write.DONE if nonces is not None and nonce in nonces else Write.DOUBT
+        return WriteResult.DONE if nonces is not None and nonce in nonces else WriteResult.IN_DOUBT
 
-    async def _turn_away_taken(self, state: Shard, group: list[_Pending]) -> list[_Pending]:
+    async def _reject_conflicting(
+        self, state: Shard, group: list[_PendingClaim]
+    ) -> list[_PendingClaim]:
         """Those of a group that no written claim stands against."""
-        free: list[_Pending] = []
+        free: list[_PendingClaim] = []
         for pending in group:
             held = state.conflicting_claim(pending.claim)
             if held is None:
                 free.append(pending)
             else:
-                await pending.decide(Taken(held))
+                await pending.resolve(Taken(held))
         return free
 
     async def _catch_up(self, shard: int, state: Shard) -> set[str] | None:
@@ -279,7 +285,7 @@
         self.read_at[shard] = clock.now()
         return nonces
 
-    async def _loaded(self, shard: int) -> Shard | None:
+    async def _load(self, shard: int) -> Shard | None:
         """The shard's state, read from the platform the first time."""
         if shard in self.shards:
             return self.shards[shard]
@@ -309,7 +315,7 @@
         """
         state = self.shards.get(shard)
         deleted = 0
-        while state and state.closed and deleted < EXPIRE_GROUP:
+        while state and state.closed and deleted < MAX_EXPIRED_PER_CALL:
             oldest = state.closed[0]
             if oldest.seen_at > clock.now() - self.retention_s:
                 break
--- a/ramppost/entry/copies.py
+++ b/ramppost/entry/copies.py
@@ -27,22 +27,22 @@
 SEND_PERIOD_S: Final = 1.0
 CALL_TIMEOUT_S: Final = 1.0
 MAX_UNSENT: Final = 10_000
-LEAST_KEEP_S: Final = 5.0
-KEEP_WINDOWS: Final = 3
+MIN_KEEP_S: Final = 5.0
+KEEP_BILL_WINDOWS: Final = 3
 
 
-class Copies:
+class BillLineCopies:
     """Our lines on their way to another entry, and other entries' lines here."""
 
-    def __init__(self, ups: Upstreams, pool: Pool, me: str, keep_s: float) -> None:
-        self.ups = ups
+    def __init__(self, upstreams: Upstreams, pool: Pool, entry_name: str, keep_s: float) -> None:
+        self.upstreams = upstreams
         self.pool = pool
-        self.me = me
+        self.entry_name = entry_name
         self.keep_s = keep_s
         self.unsent: dict[str, BillLine] = {}
-        self.holders: dict[str, str] = {}
-        self.kept: dict[str, tuple[float, BillLine]] = {}
-        self.shunned = UnresponsiveEntries()
+        self.holder_by_attempt: dict[str, str] = {}
+        self.received: dict[str, tuple[float, BillLine]] = {}
+        self.unresponsive = UnresponsiveEntries()
 
     def add(self, line: BillLine) -> None:
         """Have a line of ours copied; the oldest go without where none can be sent."""
@@ -50,26 +50,26 @@
         if len(self.unsent) > MAX_UNSENT:
             del self.unsent[next(iter(self.unsent))]
 
-    def take(self, msg: CopiesMsg) -> None:
+    def add_received(self, msg: CopiesMsg) -> None:
         """Keep another entry's lines."""
         for line in msg["lines"]:
-            self.kept[line["attempt"]] = (clock.now(), line)
+            self.received[line["attempt"]] = (clock.now(), line)
 
-    def settle(self, attempts: list[str]) -> None:
+    def drop_settled(self, attempts: list[str]) -> None:
         """These lines are in the ledger: drop the copies."""
         for attempt in attempts:
-            self.kept.pop(attempt, None)
+            self.received.pop(attempt, None)
 
-    async def settled(self, lines: list[BillLine]) -> None:
+    async def notify_settled(self, lines: list[BillLine]) -> None:
         """Our lines are in the ledger: tell who holds copies."""
         by_holder: dict[str, list[str]] = {}
         for line in lines:
             self.unsent.pop(line["attempt"], None)
-            holder = self.holders.pop(line["attempt"], None)
+            holder = self.holder_by_attempt.pop(line["attempt"], None)
             if holder is not None:
                 by_holder.setdefault(holder, []).append(line["attempt"])
         for holder, attempts in by_holder.items():
-            msg = SettledMsg(entry=self.me, attempts=attempts, rev=0)
+            msg = SettledMsg(entry=self.entry_name, attempts=attempts, rev=0)
             await call(self.pool, holder, "POST", SETTLED_PATH, encode(msg), CALL_TIMEOUT_S)
 
     async def run(self, filer: Filer) -> None:
@@ -78,37 +78,37 @@
             await curio.sleep(SEND_PERIOD_S)
             if self.unsent:
                 await self._send()
-            self.file_kept(filer, self.keep_s)
+            self.file_unsettled(filer, self.keep_s)
 
-    def file_kept(self, filer: Filer, older_than_s: float) -> None:
+    def file_unsettled(self, filer: Filer, min_age_s: float) -> None:
         """File others' lines that were kept so long; all of them where this entry stops."""
-        for attempt, (since, line) in list(self.kept.items()):
-            if clock.now() - since >= older_than_s:
-                del self.kept[attempt]
+        for attempt, (since, line) in list(self.received.items()):
+            if clock.now() - since >= min_age_s:
+                del self.received[attempt]
                 filer.add(line)
 
     async def _send(self) -> None:
-        holder = self._holder()
+        holder = self._choose_holder()
         if holder is None:
             return
         lines = list(self.unsent.values())
-        msg = CopiesMsg(entry=self.me, lines=lines)
+        msg = CopiesMsg(entry=self.entry_name, lines=lines)
         got = await call(self.pool, holder, "POST", COPIES_PATH, encode(msg), CALL_TIMEOUT_S)
         if isinstance(got, CallFailed):
-            self.shunned.add(holder)
+            self.unresponsive.add(holder)
             return
         for line in lines:
             if self.unsent.pop(line["attempt"], None) is not None:
-                self.holders[line["attempt"]] = holder
+                self.holder_by_attempt[line["attempt"]] = holder
 
-    def _holder(self) -> str | None:
+    def _choose_holder(self) -> str | None:
         """A live entry of another hall, by rendezvous; of this one where there is no other."""
-        mine = ids.address(self.me)
-        halls = {box["addr"]: box["hall"] for box in self.ups.boxes}
-        usable = [
+        own_addr = ids.address(self.entry_name)
+        hall_by_addr = {box["addr"]: box["hall"] for box in self.upstreams.boxes}
+        others = [
             addr
-            for addr in self.ups.ordered("copies", self.me)
-            if addr != mine and addr not in self.shunned
+            for addr in self.upstreams.ranked_entries("copies", self.entry_name)
+            if addr != own_addr and addr not in self.unresponsive
         ]
-        away = [addr for addr in usable if halls[addr] != self.ups.hall]
-        return next(iter(away or usable), None)
+        other_halls = [addr for addr in others if hall_by_addr[addr] != self.upstreams.hall]
+        return next(iter(other_halls or others), None)
--- a/ramppost/entry/dispatch.py
+++ b/ramppost/entry/dispatch.py
@@ -103,17 +103,17 @@
 
 async def send_run(entry: Entry, up: Upstream, msg: RunMsg, trace: Trace) -> Outcome:
     """Send an attempt to an agent and wait for its word, resolving a cut."""
-    up.own += 1
+    up.own_requests += 1
     out = await _send(entry, up, msg)
     if isinstance(out, Unknown):
-        up.health.record_failure(clock.now())
+        up.ejection.record_failure(clock.now())
         logger.bind(request=msg["request_id"]).warning("attempt in doubt: {}", out.reason)
         out = await resolve(entry, up.addr, msg["agent"], msg["attempt"], 0, _mv(msg))
     if isinstance(out, Running):
         out.up = up
         trace.running()
         return out
-    up.own -= 1
+    up.own_requests -= 1
     if isinstance(out, Unknown):
         trace.doubt()
     return out
@@ -125,7 +125,7 @@
     if isinstance(stream, CallFailed):
         if stream.sent:
             return Unknown(stream.reason)
-        up.health.record_failure(clock.now())
+        up.ejection.record_failure(clock.now())
         return NotRun("unreachable", 0.0)
     return await _read_head(entry, stream, up.addr, msg["attempt"], 0, _mv(msg))
 
@@ -199,9 +199,9 @@
 
 
 async def _heard(entry: Entry, addr: str, head: Head) -> None:
-    up = entry.ups.table.get(addr)
+    up = entry.upstreams.by_addr.get(addr)
     if up is not None:
-        entry.ups.take_head(up, head)
+        entry.upstreams.record_head(up, head)
     if head["rev"] > entry.conf.rev:
         await fetch(entry.conf, entry.pool, addr)
 
@@ -240,7 +240,7 @@
 async def finish(run: Running) -> None:
     """Done with reading, at the end or before."""
     if run.up is not None:
-        run.up.own -= 1
+        run.up.own_requests -= 1
         run.up = None
     await run.stream.close()
 
--- a/ramppost/entry/keyed.py
+++ b/ramppost/entry/keyed.py
@@ -51,7 +51,7 @@
     key = key_of(ask, stage)
     generation, request_id = 0, ask.request_id
     for _ in range(MAX_GENERATIONS):
-        ups = entry.ups.choose(mv, ask.service, ask.prefix)[:CANDIDATES]
+        ups = entry.upstreams.ranked_agents(mv, ask.service, ask.prefix)[:CANDIDATES]
         if not ups:
             held = _known(entry, key)
             if held is None:
@@ -70,7 +70,7 @@
             state="open",
             body=ask.body_digest,
         )
-        got = await entry.homes.claim(claim)
+        got = await entry.claim_homes.claim(claim)
         ask.trace.claimed = True
         if isinstance(got, NoClaim):
             message = "the key can't be recorded now, so the request was not begun"
@@ -99,9 +99,9 @@
 
 def _known(entry: Entry, key: str) -> Claim | None:
     """A claim of this key that is known without asking."""
-    shard = entry.claims.shards.get(shard_of(key))
+    shard = entry.claim_log.shards.get(shard_of(key))
     held = shard.get(key) if shard else None
-    return held or entry.homes.told.get(key)
+    return held or entry.claim_homes.known_claims.get(key)
 
 
 def _lost(held: Claim, out: Unknown) -> Refusal:
@@ -135,7 +135,7 @@
             return refused(out, mv)
         if out.reason == "tombstoned":
             return await _follow_successor(entry, ask, claim)
-    await entry.homes.note(claim | {"state": "not_run"})
+    await entry.claim_homes.record_end(claim | {"state": "not_run"})
     if isinstance(out, NotRun) and out.reason in ("withdrawn", "forbidden"):
         return Reroute(out.reason)
     return refused(out, mv)
@@ -143,7 +143,7 @@
 
 async def _follow_successor(entry: Entry, ask: Job, claim: Claim) -> StartResult:
     """Another entry had our attempt barred: answer with what came of the key there."""
-    got = await entry.homes.claim(claim | {"nonce": ""})
+    got = await entry.claim_homes.claim(claim | {"nonce": ""})
     if isinstance(got, Taken) and got.held["generation"] > claim["generation"]:
         out = await join(entry, got.held)
         if isinstance(out, Running):
@@ -168,7 +168,7 @@
             )
             if isinstance(out, Running):
                 return out
-        if held["state"] == "done" or held["request_id"] in entry.claims.abandoned:
+        if held["state"] == "done" or held["request_id"] in entry.claim_log.abandoned_requests:
             break
         await curio.sleep(JOIN_PAUSE_S)
     doubt: Unknown | None = None
--- a/ramppost/entry/main.py
+++ b/ramppost/entry/main.py
@@ -12,10 +12,10 @@
 from ramppost.agent.door import send_config
 from ramppost.confsync import CONFIG_PATH, ask_peers, follow_platform
 from ramppost.entry.callers import callers_handler, encode_bad_input
-from ramppost.entry.claimhome import CLAIM_PATH, PEEK_PATH, reply_of
+from ramppost.entry.claimhome import CLAIM_PATH, PEEK_PATH, reply_from_outcome
 from ramppost.entry.copies import COPIES_PATH, SETTLED_PATH
 from ramppost.entry.report import own_report
-from ramppost.entry.rollouts import drive, rate
+from ramppost.entry.rollouts import exchange_ratings, run_rollouts
 from ramppost.entry.state import Entry
 from ramppost.policy.claims import is_claim_key
 from ramppost.schema.messages import Claim, CopiesMsg, EntryStatus, PeekMsg, SettledMsg, StatusMsg
@@ -29,7 +29,7 @@
 STOP_POLL_S: Final = 0.05
 
 
-def internal(entry: Entry) -> Handler:
+def internal_handler(entry: Entry) -> Handler:
     """The handler of the internal listener: peers, health, metrics."""
 
     async def handle(req: Request, reply: Reply) -> None:
@@ -40,20 +40,24 @@
         elif req.path == "/x/report":
             await reply.send(200, encode(own_report(entry)))
         elif req.path == CLAIM_PATH:
-            await with_message(req, reply, Claim, lambda msg: _ask_log(entry, msg, reply))
+            await with_message(req, reply, Claim, lambda msg: _answer_claim(entry, msg, reply))
         elif req.path == PEEK_PATH:
-            await with_message(req, reply, PeekMsg, lambda msg: _ask_log(entry, msg, reply))
+            await with_message(req, reply, PeekMsg, lambda msg: _answer_claim(entry, msg, reply))
         elif req.path == COPIES_PATH:
-            await with_message(req, reply, CopiesMsg, lambda msg: _keep_copies(entry, msg, reply))
+            await with_message(req, reply, CopiesMsg, lambda msg: _store_copies(entry, msg, reply))
         elif req.path == SETTLED_PATH:
-            await with_message(req, reply, SettledMsg, lambda msg: _drop_copies(entry, msg, reply))
+            await with_message(
+                req, reply, SettledMsg, lambda msg: _settle_copies(entry, msg, reply)
+            )
         elif req.path == USAGE_PATH:
-            await reply.send(200, encode(usage(entry.client, (entry.outer, entry.inner))))
+            await reply.send(
+                200, encode(usage(entry.client, (entry.caller_meter, entry.internal_meter)))
+            )
         elif req.path == "/x/upstreams":
-            await reply.send(200, encode(entry.ups.listing()))
+            await reply.send(200, encode(entry.upstreams.report_lines()))
         elif req.path == "/metrics":
-            entry.stats.m_claims.set({}, entry.claims.groups)
-            entry.stats.m_unfiled.set({}, len(entry.filer.queue))
+            entry.stats.claim_groups.set({}, entry.claim_log.groups_written)
+            entry.stats.bills_unfiled.set({}, len(entry.filer.queue))
             text, head = render(entry.stats.registry, [])
             await reply.send(200, text, head["Content-Type"])
         elif req.path in ("/healthz", "/readyz"):
@@ -64,23 +68,23 @@
     return handle
 
 
-async def _ask_log(entry: Entry, msg: Claim | PeekMsg, reply: Reply) -> None:
+async def _answer_claim(entry: Entry, msg: Claim | PeekMsg, reply: Reply) -> None:
     """Take a claim or look a key up, as a home or deputy of its shard."""
     if is_claim_key(msg["key"]):
-        await reply.send(200, encode(reply_of(await entry.homes.own(msg))))
+        await reply.send(200, encode(reply_from_outcome(await entry.claim_homes.ask_own_log(msg))))
     else:
         await reply.send(400, b'{"error":"key: 32 hexadecimal digits wanted"}')
 
 
-async def _keep_copies(entry: Entry, msg: CopiesMsg, reply: Reply) -> None:
+async def _store_copies(entry: Entry, msg: CopiesMsg, reply: Reply) -> None:
     """Keep another entry's bill lines until they are settled."""
-    entry.copies.take(msg)
+    entry.copies.add_received(msg)
     await reply.send(200, b"{}")
 
 
-async def _drop_copies(entry: Entry, msg: SettledMsg, reply: Reply) -> None:
+async def _settle_copies(entry: Entry, msg: SettledMsg, reply: Reply) -> None:
     """Drop the lines that are in the ledger."""
-    entry.copies.settle(msg["attempts"])
+    entry.copies.drop_settled(msg["attempts"])
     await reply.send(200, b"{}")
 
 
@@ -115,15 +119,22 @@
     tasks = [
         await curio.spawn(follow_platform, entry.conf, entry.client, daemon=True),
         await curio.spawn(ask_peers, entry.conf, entry.pool, lambda: _peers(entry), daemon=True),
-        await curio.spawn(entry.ups.follow_boxes, cfg["platform"], daemon=True),
-        await curio.spawn(entry.ups.poll, entry.rev_box, daemon=True),
+        await curio.spawn(entry.upstreams.follow_box_list, cfg["platform"], daemon=True),
+        await curio.spawn(entry.upstreams.poll_agents, entry.revision_ref, daemon=True),
         await curio.spawn(entry.filer.run, daemon=True),
         await curio.spawn(entry.copies.run, entry.filer, daemon=True),
-        await curio.spawn(drive, entry, daemon=True),
-        await curio.spawn(rate, entry, daemon=True),
-        await curio.spawn(entry.homes.keep_read, daemon=True),
+        await curio.spawn(run_rollouts, entry, daemon=True),
+        await curio.spawn(exchange_ratings, entry, daemon=True),
+        await curio.spawn(entry.claim_homes.follow_logs, daemon=True),
         await curio.spawn(
-            serve, inner_sock, internal(entry), Limits(), None, None, entry.inner, daemon=True
+            serve,
+            inner_sock,
+            internal_handler(entry),
+            Limits(),
+            None,
+            None,
+            entry.internal_meter,
+            daemon=True,
         ),
         await curio.spawn(
             serve,
@@ -132,7 +143,7 @@
             limits,
             encode_bad_input,
             tls,
-            entry.outer,
+            entry.caller_meter,
             daemon=True,
         ),
     ]
@@ -149,19 +160,21 @@
 
 def _peers(entry: Entry) -> list[str]:
     """Where to ask for a newer configuration: entries of the settings, and agents."""
-    return [*entry.cfg["peers"], *(up.addr for up in entry.ups.table.values() if up.alive)]
+    return [*entry.cfg["peers"], *(up.addr for up in entry.upstreams.by_addr.values() if up.alive)]
 
 
 async def _stop(entry: Entry) -> None:
     """Planned stop: no new work, running answers to their end, bills filed."""
-    logger.info("leaving: {} requests under way", entry.busy)
+    logger.info("leaving: {} requests under way", entry.running_requests)
     entry.leaving = True
     deadline = clock.now() + entry.cfg.get("drain_s", 600.0)
     await curio.sleep(entry.cfg.get("linger_s", 3.0))
-    entry.copies.file_kept(entry.filer, 0.0)
+    entry.copies.file_unsettled(entry.filer, 0.0)
     while clock.now() < deadline:
-        if not entry.busy and entry.filer.empty and entry.homes.idle:
+        if not entry.running_requests and entry.filer.empty and entry.claim_homes.idle:
             logger.info("left")
             return
         await curio.sleep(STOP_POLL_S)
-    logger.warning("left with {} requests and {} bills", entry.busy, len(entry.filer.queue))
+    logger.warning(
+        "left with {} requests and {} bills", entry.running_requests, len(entry.filer.queue)
+    )
--- a/ramppost/entry/report.py
+++ b/ramppost/entry/report.py
@@ -21,7 +21,7 @@
 from ramppost.wire.client import CallFailed, call
 from ramppost.wire.codec import BadMessage, decode, encode
 
-ASK_TIMEOUT_S: Final = 2.0
+QUERY_TIMEOUT_S: Final = 2.0
 STATUS_PATHS: Final = {"entry": "/x/status", "agent": "/a/status"}
 
 T = TypeVar("T")
@@ -33,18 +33,18 @@
     return Report(entry=entry.name, policies=stats.policy_reports(), classes=stats.class_reports())
 
 
-async def all_reports(entry: Entry) -> list[Report]:
+async def collect_reports(entry: Entry) -> list[Report]:
     """The reports of all entries that answer."""
     own = ids.address(entry.name)
-    asked = [b for b in entry.ups.boxes if b["role"] == "entry" and b["addr"] != own]
-    tasks = [await curio.spawn(_ask, entry, b["addr"], "/x/report", Report) for b in asked]
+    asked = [b for b in entry.upstreams.boxes if b["role"] == "entry" and b["addr"] != own]
+    tasks = [await curio.spawn(_query, entry, b["addr"], "/x/report", Report) for b in asked]
     found = [await task.join() for task in tasks]
     return [own_report(entry), *(r for r in found if r is not None)]
 
 
-async def status_report(entry: Entry) -> StatusReport:
+async def collect_status(entry: Entry) -> StatusReport:
     """The revision in force at every process that the box list names."""
-    tasks = [await curio.spawn(_process, entry, box) for box in entry.ups.boxes]
+    tasks = [await curio.spawn(_process_status, entry, box) for box in entry.upstreams.boxes]
     processes = [await task.join() for task in tasks]
     doc = entry.conf.doc
     rollouts = [_rollout_line(r) for r in doc["rollouts"]] if doc else []
@@ -53,12 +53,12 @@
 
 def _rollout_line(rollout: Rollout) -> str:
     steps, step = rollout["steps"], rollout["step"]
-    where = f"step {step + 1}/{len(steps)} ({steps[min(step, len(steps) - 1)]:.0%})"
-    line = f"{rollout['model']}: {rollout['stable']} -> {rollout['trial']} {where}"
+    progress = f"step {step + 1}/{len(steps)} ({steps[min(step, len(steps) - 1)]:.0%})"
+    line = f"{rollout['model']}: {rollout['stable']} -> {rollout['trial']} {progress}"
     return f"{line} {rollout['state']} {rollout.get('note', '')}".rstrip()
 
 
-async def _process(entry: Entry, box: Box) -> ProcessStatus:
+async def _process_status(entry: Entry, box: Box) -> ProcessStatus:
     line = ProcessStatus(
         name=box["name"],
         role=box["role"],
@@ -69,19 +69,19 @@
     )
     path = STATUS_PATHS[box["role"]]
     if box["role"] == "entry":
-        entry_status = await _ask(entry, box["addr"], path, EntryStatus)
+        entry_status = await _query(entry, box["addr"], path, EntryStatus)
         if entry_status is not None:
             line["rev"], line["state"] = entry_status["rev"], entry_status["state"]
     else:
-        agent_status = await _ask(entry, box["addr"], path, AgentStatus)
+        agent_status = await _query(entry, box["addr"], path, AgentStatus)
         if agent_status is not None:
             line["rev"], line["state"] = agent_status["rev"], agent_status["state"]
     return line
 
 
-async def _ask(entry: Entry, addr: str, path: str, kind: type[T]) -> T | None:
+async def _query(entry: Entry, addr: str, path: str, kind: type[T]) -> T | None:
     body = encode(StatusMsg(entry=entry.name, rev=entry.conf.rev))
-    got = await call(entry.pool, addr, "POST", path, body, ASK_TIMEOUT_S)
+    got = await call(entry.pool, addr, "POST", path, body, QUERY_TIMEOUT_S)
     if isinstance(got, CallFailed) or got.status != 200:
         return None
     found: Any = decode(got.body, kind)
--- a/ramppost/entry/rollouts.py
+++ b/ramppost/entry/rollouts.py
@@ -13,7 +13,7 @@
 from loguru import logger
 
 from ramppost import clock, ids
-from ramppost.entry.changes import change
+from ramppost.entry.changes import apply_change
 from ramppost.entry.state import Entry
 from ramppost.platform.objects import Unavailable
 from ramppost.platform.ratings import hand_in, ratings_after
@@ -30,76 +30,82 @@
 )
 from ramppost.schema.config import ConfigDoc, Rollout
 
-PERIOD_S: Final = 0.2
+EVALUATION_PERIOD_S: Final = 0.2
 RATINGS_PERIOD_S: Final = 0.5
-CALM_PERIOD_S: Final = 5.0
-CONTROLLER: Final = "rollout-controller"
-MAX_UNRATED: Final = 2000
+IDLE_RATINGS_PERIOD_S: Final = 5.0
+CONTROLLER_NAME: Final = "rollout-controller"
+MAX_UNRATED_ANSWERS: Final = 2000
 
 
-class Watched:
+class RolloutProgress:
     """A running roll-out as this entry sees it: its step, and what was counted before that."""
 
     def __init__(self) -> None:
         self.step = -1
-        self.step_since = 0.0
-        self.step_before = OutcomeCounts()
+        self.step_started_at = 0.0
+        self.counts_at_step_start = OutcomeCounts()
 
 
-async def drive(entry: Entry) -> None:
+async def run_rollouts(entry: Entry) -> None:
     """Judge running roll-outs until cancelled."""
-    watched: dict[CountKey, Watched] = {}
+    progress_by_trial: dict[CountKey, RolloutProgress] = {}
     while True:
-        await curio.sleep(PERIOD_S)
+        await curio.sleep(EVALUATION_PERIOD_S)
         doc = entry.conf.doc
         running = [r for r in doc["rollouts"] if r["state"] == "running"] if doc else []
         now = {trial_count_key(r): r for r in running}
-        watched = {trial: seen for trial, seen in watched.items() if trial in now}
+        progress_by_trial = {
+            trial: progress for trial, progress in progress_by_trial.items() if trial in now
+        }
         for trial, rollout in now.items():
-            if trial not in watched:
-                watched[trial] = Watched()
-                entry.paused.discard(trial.mv)
+            if trial not in progress_by_trial:
+                progress_by_trial[trial] = RolloutProgress()
+                entry.paused_trials.discard(trial.mv)
             assert doc is not None
-            await _judge_one(entry, doc, rollout, trial, watched[trial])
+            await _evaluate(entry, doc, rollout, trial, progress_by_trial[trial])
 
 
-async def _judge_one(
-    entry: Entry, doc: ConfigDoc, rollout: Rollout, trial: CountKey, seen: Watched
+async def _evaluate(
+    entry: Entry, doc: ConfigDoc, rollout: Rollout, trial: CountKey, progress: RolloutProgress
 ) -> None:
     stable = ModelVersion(rollout["model"], rollout["stable"])
     now = clock.now()
-    counts = entry.ups.totals(trial.mv, trial.since)
-    if seen.step != rollout["step"]:
-        seen.step, seen.step_since, seen.step_before = rollout["step"], now, counts
-    in_step = counts_since(counts, seen.step_before)
+    counts = entry.upstreams.total_counts(trial.mv, trial.since)
+    if progress.step != rollout["step"]:
+        progress.step, progress.step_started_at, progress.counts_at_step_start = (
+            rollout["step"],
+            now,
+            counts,
+        )
+    in_step = counts_since(counts, progress.counts_at_step_start)
     verdict = evaluate_rollout(
         rollout,
-        entry.ups.totals(stable),
+        entry.upstreams.total_counts(stable),
         counts,
         entry.ratings.get(stable, Ratings()).all,
         entry.ratings.get(trial.mv, Ratings()).since(trial.since),
-        now - seen.step_since,
+        now - progress.step_started_at,
         in_step.ok + in_step.bad,
     )
     if verdict.action == "withdraw":
-        entry.paused.add(trial.mv)
+        entry.paused_trials.add(trial.mv)
     if verdict.action != "wait":
-        await _carry_out(entry, doc, rollout, verdict)
+        await _apply_verdict(entry, doc, rollout, verdict)
 
 
-async def _carry_out(entry: Entry, doc: ConfigDoc, rollout: Rollout, verdict: Verdict) -> None:
+async def _apply_verdict(entry: Entry, doc: ConfigDoc, rollout: Rollout, verdict: Verdict) -> None:
     model = rollout["model"]
     if verdict.action == "withdraw":
-        fresh = withdraw_trial(doc, model, verdict.reason)
+        new_doc = withdraw_trial(doc, model, verdict.reason)
     elif verdict.action == "advance":
-        fresh = advance_rollout(doc, model)
+        new_doc = advance_rollout(doc, model)
     else:
-        fresh = finish_rollout(doc, model)
+        new_doc = finish_rollout(doc, model)
     logger.info("roll-out of {}: {} ({})", model, verdict.action, verdict.reason)
-    await change(entry, doc["revision"], fresh, ids.new_id("auto"), CONTROLLER)
+    await apply_change(entry, doc["revision"], new_doc, ids.new_id("auto"), CONTROLLER_NAME)
 
 
-async def rate(entry: Entry) -> None:
+async def exchange_ratings(entry: Entry) -> None:
     """Hand answers in for rating and take in late ratings, until cancelled."""
     after = 0
     waited_s = 0.0
@@ -107,36 +113,38 @@
     while True:
         await curio.sleep(RATINGS_PERIOD_S)
         waited_s += RATINGS_PERIOD_S
-        if not _rolling(entry) and waited_s < CALM_PERIOD_S:
+        if not _has_running_rollout(entry) and waited_s < IDLE_RATINGS_PERIOD_S:
             continue
         waited_s = 0.0
-        if entry.to_rate:
-            batch, entry.to_rate = entry.to_rate, []
+        if entry.unrated_answers:
+            batch, entry.unrated_answers = entry.unrated_answers, []
             if not await hand_in(entry.pool, platform, batch):
-                entry.to_rate = [*batch, *entry.to_rate][-MAX_UNRATED:]
+                entry.unrated_answers = [*batch, *entry.unrated_answers][-MAX_UNRATED_ANSWERS:]
         found = await ratings_after(entry.pool, platform, after)
         for rating in [] if isinstance(found, Unavailable) else found:
             after = max(after, rating["seq"])
             mv = ModelVersion(rating["model"], rating["version"])
             revision = ids.revision_of(rating["request_id"])
             entry.ratings.setdefault(mv, Ratings()).add(revision, rating["score"])
-            _learn(entry, rating["request_id"], rating["class_name"], mv, rating["score"])
+            _record_rating(entry, rating["request_id"], rating["class_name"], mv, rating["score"])
 
 
-def _rolling(entry: Entry) -> bool:
+def _has_running_rollout(entry: Entry) -> bool:
     """Whether a roll-out is under way, so that ratings are urgent."""
     doc = entry.conf.doc
     return doc is not None and any(r["state"] == "running" for r in doc["rollouts"])
 
 
-def _learn(entry: Entry, request_id: str, class_name: str, mv: ModelVersion, score: float) -> None:
+def _record_rating(
+    entry: Entry, request_id: str, class_name: str, mv: ModelVersion, score: float
+) -> None:
     """Every entry learns from every rating; policies are counted where they chose."""
-    entry.learned.add_rating(class_name, mv.model, score)
-    served = entry.stats.served.get(request_id)
+    entry.learned_policy_state.add_rating(class_name, mv.model, score)
+    served = entry.stats.served_requests.get(request_id)
     if served is None:
         return
-    entry.stats.policy(served.policy).ratings.add(score)
+    entry.stats.policy_stats(served.policy).ratings.add(score)
     doc = entry.conf.doc
     for policy in doc["policies"] if doc else []:
         if policy["name"] == served.policy and policy["kind"] == "learned":
-            entry.learned.update_quality_price(policy.get("target", 0.0), score)
+            entry.learned_policy_state.update_quality_price(policy.get("target", 0.0), score)
--- a/ramppost/entry/route.py
+++ b/ramppost/entry/route.py
@@ -98,7 +98,7 @@
         return refusal("not_found", f"workspace {ask.ws['name']} has no policy for `auto`")
     usable = [m for m in doc["models"] if _pick(entry, ask, doc, m["model"])]
     order = MODEL_ORDERS[policy["kind"]](policy)
-    names = order(ask.cls["name"], usable, entry.learned, entry.rng)
+    names = order(ask.cls["name"], usable, entry.learned_policy_state, entry.rng)
     if not ask.repeatable:
         names = names[-1:]
     picks = [_pick(entry, ask, doc, name) for name in names]
@@ -110,11 +110,11 @@
 
 def _pick(entry: Entry, ask: Job, doc: ConfigDoc, model: str) -> PickedVersion | None:
     def may(mv: ModelVersion) -> bool:
-        free = allowed(ask.ws, mv) and mv not in entry.paused
-        return free and bool(entry.ups.candidates(mv, ""))
+        free = allowed(ask.ws, mv) and mv not in entry.paused_trials
+        return free and bool(entry.upstreams.candidates(mv, ""))
 
     rollout = running_rollout(doc, model)
-    if rollout is not None and not entry.may_expose(rollout):
+    if rollout is not None and not entry.may_send_to_trial(rollout):
         trial = rollout["trial"]
         return pick_version(doc, model, ask.who, lambda mv: mv.version != trial and may(mv))
     return pick_version(doc, model, ask.who, may)
--- a/ramppost/entry/serve.py
+++ b/ramppost/entry/serve.py
@@ -18,7 +18,7 @@
 from ramppost.entry.start import start_run
 from ramppost.entry.start_result import Reroute
 from ramppost.entry.state import Entry
-from ramppost.entry.stats import Served
+from ramppost.entry.stats import ServedRequest
 from ramppost.errors import Refusal, refusal
 from ramppost.platform.ratings import Rated
 from ramppost.policy.permissions import ModelVersion, version_state
@@ -86,18 +86,18 @@
     """Whether to try again what failed before its caller saw any of it."""
     if not ask.repeatable or sink.started or got.code not in RETRIED_CODES:
         return False
-    if not entry.retries.take():
+    if not entry.retry_budget.take():
         return False
-    entry.stats.m_retries.inc({})
+    entry.stats.retries_total.inc({})
     return True
 
 
 def _count_refused(entry: Entry, ask: Job, ref: Refusal) -> None:
-    served = entry.stats.served.get(ask.request_id)
-    entry.stats.policy(served.policy if served else NO_POLICY).refused += 1
+    served = entry.stats.served_requests.get(ask.request_id)
+    entry.stats.policy_stats(served.policy if served else NO_POLICY).refused += 1
     outcome = "refused" if ref.ran == "no" else "failed"
     if ref.status >= 500 or ref.status == 429:
-        entry.stats.ended(ask.ws["name"], ask.cls, outcome, None)
+        entry.stats.record_end(ask.ws["name"], ask.cls, outcome, None)
 
 
 async def _stages(
@@ -114,7 +114,7 @@
     for stage, pick in enumerate(chosen.picks):
         last = stage == len(chosen.picks) - 1
         if pick.trial and entry.conf.doc is not None:
-            entry.expose(entry.conf.doc, pick.mv)
+            entry.count_trial_request(entry.conf.doc, pick.mv)
         run = await start_run(entry, ask, pick.mv, stage, turn, deadline)
         if isinstance(run, Reroute):
             return run
@@ -141,11 +141,11 @@
 
 
 def _count_begun(entry: Entry, ask: Job, chosen: Route, pick: PickedVersion, run: Running) -> None:
-    count = entry.stats.policy(chosen.policy_name)
+    count = entry.stats.policy_stats(chosen.policy_name)
     count.requests += 1
     count.trial_requests += pick.trial
-    served = Served(chosen.policy_name, ask.cls["name"], run.mv)
-    entry.stats.remember(run.request_id, served)
+    served = ServedRequest(chosen.policy_name, ask.cls["name"], run.mv)
+    entry.stats.remember_served(run.request_id, served)
 
 
 async def _read_whole(entry: Entry, ask: Job, run: Running) -> Whole | Refusal:
@@ -172,7 +172,7 @@
     for number, text in enumerate(whole.pieces):
         await sink.piece(number, text)
     await sink.end(whole.end)
-    entry.stats.ended(ask.ws["name"], ask.cls, "served", first_s)
+    entry.stats.record_end(ask.ws["name"], ask.cls, "served", first_s)
 
 
 async def pass_on(
@@ -202,10 +202,10 @@
             if not pieces:
                 await _begin(entry, ask, run, sink)
             await sink.end(end)
-            entry.stats.ended(ask.ws["name"], ask.cls, "served", first_s)
+            entry.stats.record_end(ask.ws["name"], ask.cls, "served", first_s)
             return None
     except Gone:
-        entry.stats.ended(ask.ws["name"], ask.cls, "left", first_s)
+        entry.stats.record_end(ask.ws["name"], ask.cls, "left", first_s)
         raise
     finally:
         await finish(run)
@@ -223,7 +223,7 @@
     """The answer can't be ended: a refusal if nothing was sent, else an error within it."""
     if not sink.started:
         return ref
-    entry.stats.ended(ask.ws["name"], ask.cls, "failed", first_s)
+    entry.stats.record_end(ask.ws["name"], ask.cls, "failed", first_s)
     await sink.fail(ref)
     return None
 
@@ -257,7 +257,7 @@
         "{} {} {} tokens {}", run.mv.text, end["state"], end["tokens_out"], end["reason"]
     )
     if run.claim is not None:
-        await entry.homes.note(run.claim | {"state": "done"})
+        await entry.claim_homes.record_end(run.claim | {"state": "done"})
     if end["state"] in ("failed", "lost"):
         return
     line = BillLine(
@@ -269,14 +269,16 @@
         tokens=end["tokens_out"],
         cost=end["cost"],
     )
-    entry.bill(line, run.addr)
-    entry.bucket(ask.ws).charge(end["tokens_out"], clock.now())
-    entry.learned.add_token_count(ask.cls["name"], end["tokens_out"])
-    entry.stats.m_cost.add({"workspace": ask.ws["name"]}, end["cost"])
-    entry.stats.m_tokens.add({"model": run.mv.model, "version": run.mv.version}, end["tokens_out"])
-    served = entry.stats.served.get(run.request_id)
+    entry.queue_bill_line(line, run.addr)
+    entry.token_bucket(ask.ws).charge(end["tokens_out"], clock.now())
+    entry.learned_policy_state.add_token_count(ask.cls["name"], end["tokens_out"])
+    entry.stats.cost_total.add({"workspace": ask.ws["name"]}, end["cost"])
+    entry.stats.tokens_total.add(
+        {"model": run.mv.model, "version": run.mv.version}, end["tokens_out"]
+    )
+    served = entry.stats.served_requests.get(run.request_id)
     if served is not None:
-        entry.stats.policy(served.policy).cost += end["cost"]
+        entry.stats.policy_stats(served.policy).cost += end["cost"]
     if text and not ask.service and _rated(entry, run.mv):
         rated = Rated(
             request_id=run.request_id,
@@ -285,4 +287,4 @@
             class_name=ask.cls["name"],
             text=text[-MAX_RATED_CHARS:],
         )
-        entry.to_rate.append(rated)
+        entry.unrated_answers.append(rated)
--- a/ramppost/entry/start.py
+++ b/ramppost/entry/start.py
@@ -29,10 +29,10 @@
 
     `stage` counts within a cascade; `turn` is the first number free for attempts.
     """
-    entry.retries.record_try()
+    entry.retry_budget.record_try()
     if ask.key:
         return await start_keyed_run(entry, ask, mv, stage, deadline)
-    ups = entry.ups.choose(mv, ask.service, ask.prefix)
+    ups = entry.upstreams.ranked_agents(mv, ask.service, ask.prefix)
     out: Outcome = NotRun("no_upstream", LEAST_RETRY_S)
     for number, up in enumerate(ups[:MAX_TRIES]):
         if number and not _may_retry(entry, out):
@@ -57,7 +57,7 @@
     """A retry that costs the upstreams nothing is free; others go by the budget."""
     if isinstance(out, NotRun) and out.reason in FREE_RETRIES:
         return True
-    if not entry.retries.take():
+    if not entry.retry_budget.take():
         return False
-    entry.stats.m_retries.inc({})
+    entry.stats.retries_total.inc({})
     return True
--- a/ramppost/entry/state.py
+++ b/ramppost/entry/state.py
@@ -9,7 +9,7 @@
 from ramppost.confsync import ConfState
 from ramppost.entry.claimhome import ClaimHomes
 from ramppost.entry.claimlog import ClaimLog
-from ramppost.entry.copies import KEEP_WINDOWS, LEAST_KEEP_S, Copies
+from ramppost.entry.copies import KEEP_BILL_WINDOWS, MIN_KEEP_S, BillLineCopies
 from ramppost.entry.stats import Stats
 from ramppost.entry.upstreams import Upstreams
 from ramppost.ledger import Filer
@@ -27,12 +27,12 @@
 from ramppost.wire.server import Meter
 
 SETTLED_TIMEOUT_S: Final = 2.0
-CLAIMS_WAIT_S: Final = 3.0
-RATED_PER_S: Final = 40.0
-RATED_BURST_S: Final = 4.0
+CLAIMS_READ_TIMEOUT_S: Final = 3.0
+RATINGS_PER_S: Final = 40.0
+RATING_BURST_S: Final = 4.0
 
 
-class Exposed(NamedTuple):
+class TrialRequests(NamedTuple):
     """Requests that this entry sent to a trial in a step."""
 
     step: int
@@ -51,100 +51,102 @@
         self.conf = ConfState()
         self.rng = random.Random()
         size = cfg.get("subset", 8)
-        self.ups = Upstreams(cfg["name"], cfg["hall"], self.name, self.pool, size, self.rng)
-        self.ups.seed(cfg["agents"])
-        self.claims = ClaimLog(self.client, cfg.get("claim_window_ms", 10) / 1000)
-        self.homes = ClaimHomes(self.claims, self.ups, self.pool, self.name)
+        self.upstreams = Upstreams(cfg["name"], cfg["hall"], self.name, self.pool, size, self.rng)
+        self.upstreams.add_configured(cfg["agents"])
+        self.claim_log = ClaimLog(self.client, cfg.get("claim_window_ms", 10) / 1000)
+        self.claim_homes = ClaimHomes(self.claim_log, self.upstreams, self.pool, self.name)
         window_s = cfg.get("bill_window_s", 1.0)
-        self.filer = Filer(self.client, self.name, window_s, self._filed)
-        keep_s = max(LEAST_KEEP_S, KEEP_WINDOWS * window_s)
-        self.copies = Copies(self.ups, self.pool, self.name, keep_s)
-        self.bill_agents: dict[str, str] = {}
+        self.filer = Filer(self.client, self.name, window_s, self._on_bills_filed)
+        keep_s = max(MIN_KEEP_S, KEEP_BILL_WINDOWS * window_s)
+        self.copies = BillLineCopies(self.upstreams, self.pool, self.name, keep_s)
+        self.agent_by_attempt: dict[str, str] = {}
         self.stats = Stats()
-        self.learned = LearnedPolicyState()
+        self.learned_policy_state = LearnedPolicyState()
         self.ratings: dict[ModelVersion, Ratings] = {}
-        self.to_rate: list[Rated] = []
-        self._rating_bucket = TokenBucket(RATED_PER_S, RATED_PER_S, clock.now())
-        self.paused: set[ModelVersion] = set()
-        self.exposed: dict[CountKey, Exposed] = {}
-        self.retries = RetryBudget()
-        self.buckets: dict[str, TokenBucket] = {}
-        self.running: dict[str, int] = {}
+        self.unrated_answers: list[Rated] = []
+        self._rating_bucket = TokenBucket(RATINGS_PER_S, RATINGS_PER_S, clock.now())
+        self.paused_trials: set[ModelVersion] = set()
+        self.trial_requests_by_key: dict[CountKey, TrialRequests] = {}
+        self.retry_budget = RetryBudget()
+        self.token_buckets: dict[str, TokenBucket] = {}
+        self.running_by_workspace: dict[str, int] = {}
         self.leaving = False
-        self.started = clock.now()
-        self.outer = Meter()
-        self.inner = Meter()
-        self.rev_box = [0]
-        self.conf.on_adopt.append(self._adopted)
+        self.started_at = clock.now()
+        self.caller_meter = Meter()
+        self.internal_meter = Meter()
+        self.revision_ref = [0]
+        self.conf.on_adopt.append(self._on_config_adopted)
 
-    def may_expose(self, rollout: Rollout) -> bool:
+    def may_send_to_trial(self, rollout: Rollout) -> bool:
         """Whether this entry's part of the cap on a step's exposure has room."""
         if "max_exposed" not in rollout:
             return True
         trial, step = trial_count_key(rollout), rollout["step"]
-        rank = self.ups.rank(f"{trial.mv.text} {trial.since} {step}")
-        part = split_cap(rollout["max_exposed"], self.ups.entries(), rank)
-        return self._exposed_in(trial, step) < part
+        rank = self.upstreams.rank(f"{trial.mv.text} {trial.since} {step}")
+        part = split_cap(rollout["max_exposed"], self.upstreams.entry_count(), rank)
+        return self._trial_requests_in(trial, step) < part
 
-    def expose(self, doc: ConfigDoc, mv: ModelVersion) -> None:
+    def count_trial_request(self, doc: ConfigDoc, mv: ModelVersion) -> None:
         """Count a request that goes to a trial."""
         rollout = running_rollout(doc, mv.model)
         step = rollout["step"] if rollout else 0
         trial = count_key_of(doc, mv)
-        self.exposed[trial] = Exposed(step, self._exposed_in(trial, step) + 1)
+        self.trial_requests_by_key[trial] = TrialRequests(
+            step, self._trial_requests_in(trial, step) + 1
+        )
 
-    def _exposed_in(self, trial: CountKey, step: int) -> int:
+    def _trial_requests_in(self, trial: CountKey, step: int) -> int:
         """Requests that went to a trial in a step."""
-        seen = self.exposed.get(trial)
-        return seen.requests if seen and seen.step == step else 0
+        current = self.trial_requests_by_key.get(trial)
+        return current.requests if current and current.step == step else 0
 
     @property
-    def busy(self) -> int:
+    def running_requests(self) -> int:
         """Callers' requests under way."""
-        return sum(self.running.values())
+        return sum(self.running_by_workspace.values())
 
     @property
     def ready(self) -> bool:
         """Whether callers should be sent here: configured, and claims read or not to be had."""
-        claims = self.homes.read_once or clock.now() - self.started > CLAIMS_WAIT_S
+        claims = self.claim_homes.logs_read or clock.now() - self.started_at > CLAIMS_READ_TIMEOUT_S
         return self.conf.doc is not None and not self.leaving and claims
 
-    def bucket(self, ws: Workspace) -> TokenBucket:
+    def token_bucket(self, ws: Workspace) -> TokenBucket:
         """This entry's part of a workspace's tokens."""
-        part = 1 / self.ups.entries()
+        part = 1 / self.upstreams.entry_count()
         rate, burst = ws["tokens_per_s"] * part, ws["burst_tokens"] * part
-        held = self.buckets.get(ws["name"])
-        if held is None or (held.rate, held.burst) != (rate, burst):
-            fresh = TokenBucket(rate, burst, clock.now())
-            if held is not None:
-                fresh.level = min(fresh.level, held.level)
-            self.buckets[ws["name"]] = held = fresh
-        return held
+        bucket = self.token_buckets.get(ws["name"])
+        if bucket is None or (bucket.rate, bucket.burst) != (rate, burst):
+            replacement = TokenBucket(rate, burst, clock.now())
+            if bucket is not None:
+                replacement.level = min(replacement.level, bucket.level)
+            self.token_buckets[ws["name"]] = bucket = replacement
+        return bucket
 
     def rating_bucket(self) -> TokenBucket:
         """This entry's part of the ratings that the fleet asks for."""
-        rate = RATED_PER_S / self.ups.entries()
+        rate = RATINGS_PER_S / self.upstreams.entry_count()
         if self._rating_bucket.rate != rate:
-            self._rating_bucket = TokenBucket(rate, RATED_BURST_S * rate, clock.now())
+            self._rating_bucket = TokenBucket(rate, RATING_BURST_S * rate, clock.now())
         return self._rating_bucket
 
-    def bill(self, line: BillLine, agent: str) -> None:
+    def queue_bill_line(self, line: BillLine, agent: str) -> None:
         """Queue a bill line; its agent is told when it is in the ledger."""
-        self.bill_agents[line["attempt"]] = agent
+        self.agent_by_attempt[line["attempt"]] = agent
         self.filer.add(line)
         self.copies.add(line)
 
-    def _adopted(self, doc: ConfigDoc) -> None:
-        self.rev_box[0] = doc["revision"]
-        self.stats.m_revision.set({}, doc["revision"])
+    def _on_config_adopted(self, doc: ConfigDoc) -> None:
+        self.revision_ref[0] = doc["revision"]
+        self.stats.config_revision.set({}, doc["revision"])
 
-    async def _filed(self, lines: list[BillLine]) -> None:
+    async def _on_bills_filed(self, lines: list[BillLine]) -> None:
         by_agent: dict[str, list[str]] = {}
         for line in lines:
-            agent = self.bill_agents.pop(line["attempt"], None)
+            agent = self.agent_by_attempt.pop(line["attempt"], None)
             if agent is not None:
                 by_agent.setdefault(agent, []).append(line["attempt"])
         for agent, attempts in by_agent.items():
             msg = SettledMsg(entry=self.name, attempts=attempts, rev=self.conf.rev)
             await call(self.pool, agent, "POST", "/a/settled", encode(msg), SETTLED_TIMEOUT_S)
-        await self.copies.settled(lines)
+        await self.copies.notify_settled(lines)
--- a/ramppost/entry/stats.py
+++ b/ramppost/entry/stats.py
@@ -18,13 +18,13 @@
 from ramppost.schema.config import WorkClass
 from ramppost.schema.messages import ClassReport, PolicyReport
 
-REMEMBERED: Final = 20000
-MAX_MS: Final = 3_600_000
+MAX_REMEMBERED_REQUESTS: Final = 20000
+MAX_LATENCY_MS: Final = 3_600_000
 DEFAULT_OBJECTIVE_MS: Final = 1000
 DEFAULT_OBJECTIVE_SHARE: Final = 0.99
 
 
-class Served(NamedTuple):
+class ServedRequest(NamedTuple):
     """What is remembered of a request until its rating comes."""
 
     policy: str
@@ -32,12 +32,12 @@
     mv: ModelVersion
 
 
-class ClassCount:
+class ClassStats:
     """Counts of a class of a workspace."""
 
     def __init__(self) -> None:
         self.window = OutcomeWindow()
-        self.first_ms = HdrHistogram(1, MAX_MS, 2)
+        self.first_token_ms = HdrHistogram(1, MAX_LATENCY_MS, 2)
 
 
 class Stats:
@@ -45,57 +45,63 @@
 
     def __init__(self) -> None:
         self.policies: dict[str, PolicyStats] = {}
-        self.classes: dict[tuple[str, str], ClassCount] = {}
+        self.classes: dict[tuple[str, str], ClassStats] = {}
         self.objectives: dict[str, WorkClass] = {}
-        self.served: OrderedDict[str, Served] = OrderedDict()
+        self.served_requests: OrderedDict[str, ServedRequest] = OrderedDict()
         self.registry = Registry()
-        self.m_requests = Counter(
+        self.requests_total = Counter(
             "ramppost_requests_total", "Requests by workspace, class and outcome."
         )
-        self.m_tokens = Counter("ramppost_tokens_total", "Generated tokens by model and version.")
-        self.m_cost = Counter(
+        self.tokens_total = Counter(
+            "ramppost_tokens_total", "Generated tokens by model and version."
+        )
+        self.cost_total = Counter(
             "ramppost_cost_total", "Cost by workspace, in the operators' currency."
         )
-        self.m_retries = Counter("ramppost_retries_total", "Retries of requests.")
-        self.m_first = Histogram(
+        self.retries_total = Counter("ramppost_retries_total", "Retries of requests.")
+        self.first_token_seconds = Histogram(
             "ramppost_first_token_seconds", "Time to the first token by class."
         )
-        self.m_revision = Gauge("ramppost_config_revision", "Configuration revision in force.")
-        self.m_claims = Gauge("ramppost_claim_groups", "Groups of claims written since the start.")
-        self.m_unfiled = Gauge("ramppost_bills_unfiled", "Bill lines not in the ledger yet.")
+        self.config_revision = Gauge("ramppost_config_revision", "Configuration revision in force.")
+        self.claim_groups = Gauge(
+            "ramppost_claim_groups", "Groups of claims written since the start."
+        )
+        self.bills_unfiled = Gauge("ramppost_bills_unfiled", "Bill lines not in the ledger yet.")
         for metric in (
-            self.m_requests,
-            self.m_tokens,
-            self.m_cost,
-            self.m_retries,
-            self.m_first,
-            self.m_revision,
-            self.m_claims,
-            self.m_unfiled,
+            self.requests_total,
+            self.tokens_total,
+            self.cost_total,
+            self.retries_total,
+            self.first_token_seconds,
+            self.config_revision,
+            self.claim_groups,
+            self.bills_unfiled,
         ):
             self.registry.register(metric)
 
-    def policy(self, name: str) -> PolicyStats:
+    def policy_stats(self, name: str) -> PolicyStats:
         """Counts of a policy by name."""
         return self.policies.setdefault(name, PolicyStats())
 
-    def remember(self, request_id: str, served: Served) -> None:
+    def remember_served(self, request_id: str, served: ServedRequest) -> None:
         """Remember a request until its rating comes, the latest ones only."""
-        self.served[request_id] = served
-        if len(self.served) > REMEMBERED:
-            self.served.popitem(last=False)
+        self.served_requests[request_id] = served
+        if len(self.served_requests) > MAX_REMEMBERED_REQUESTS:
+            self.served_requests.popitem(last=False)
 
-    def ended(self, workspace: str, cls: WorkClass, outcome: str, first_s: float | None) -> None:
+    def record_end(
+        self, workspace: str, cls: WorkClass, outcome: str, first_s: float | None
+    ) -> None:
         """Count a request's end; `first_s` is the time to its first token."""
-        self.m_requests.inc({"workspace": workspace, "class": cls["name"], "outcome": outcome})
-        count = self.classes.setdefault((workspace, cls["name"]), ClassCount())
+        self.requests_total.inc({"workspace": workspace, "class": cls["name"], "outcome": outcome})
+        count = self.classes.setdefault((workspace, cls["name"]), ClassStats())
         self.objectives[cls["name"]] = cls
         limit_ms = cls.get("objective_ms", DEFAULT_OBJECTIVE_MS)
         good = outcome == "served" and first_s is not None and first_s * 1000 <= limit_ms
         count.window.add(good, time.time())
         if first_s is not None:
-            count.first_ms.record_value(max(1, min(MAX_MS, int(first_s * 1000))))
-            self.m_first.observe({"class": cls["name"]}, first_s)
+            count.first_token_ms.record_value(max(1, min(MAX_LATENCY_MS, int(first_s * 1000))))
+            self.first_token_seconds.observe({"class": cls["name"]}, first_s)
 
     def policy_reports(self) -> list[PolicyReport]:
         """A line for each policy, with a 95% interval of its mean rating."""
@@ -113,8 +119,8 @@
                 window,
                 share,
                 now,
-                float(count.first_ms.get_value_at_percentile(50)),
-                float(count.first_ms.get_value_at_percentile(99)),
+                float(count.first_token_ms.get_value_at_percentile(50)),
+                float(count.first_token_ms.get_value_at_percentile(99)),
             )
             lines.append(line)
         return lines
--- a/ramppost/entry/upstreams.py
+++ b/ramppost/entry/upstreams.py
@@ -31,11 +31,11 @@
 from ramppost.wire.client import CallFailed, Pool, call
 from ramppost.wire.codec import BadMessage, decode, encode
 
-BOXES_PERIOD_S: Final = 2.0
-POLL_S: Final = 0.5
-LOST_POLLS: Final = 4
-IDLE_POLLS: Final = 2
-IDLE_S: Final = 1.0
+BOX_LIST_PERIOD_S: Final = 2.0
+POLL_PERIOD_S: Final = 0.5
+MAX_UNUSABLE_POLLS: Final = 4
+MAX_IDLE_POLLS: Final = 2
+IDLE_AFTER_S: Final = 1.0
 POLL_TIMEOUT_S: Final = 1.0
 
 
@@ -51,14 +51,14 @@
         self.versions: set[str] = set()
         self.alive = False
         self.listed_leaving = False
-        self.own = 0
-        self.reported = 0
+        self.own_requests = 0
+        self.reported_requests = 0
         self.slots = 1
-        self.heard_at = 0.0
+        self.last_reply_at = 0.0
         self.rev = 0
-        self.health = Ejection()
+        self.ejection = Ejection()
         self.counts: dict[CountKey, OutcomeCounts] = {}
-        self.past: dict[CountKey, OutcomeCounts] = {}
+        self.earlier_counts: dict[CountKey, OutcomeCounts] = {}
         self.polling = False
         self.polled_at = 0.0
 
@@ -68,99 +68,116 @@
             bool(self.ticket)
             and self.alive
             and not self.listed_leaving
-            and not self.health.is_ejected(now)
+            and not self.ejection.is_ejected(now)
         )
 
-    def heard(self, ticket: str, load: Load, counts: list[VersionCount], rev: int) -> None:
+    def record_reply(self, ticket: str, load: Load, counts: list[VersionCount], rev: int) -> None:
         """Take in what a reply tells; a new incarnation counts from nothing."""
         if ids.parse_ticket(ticket).incarnation != ids.parse_ticket(self.ticket).incarnation:
             for what, count in self.counts.items():
-                self.past[what] = add_counts(self.past.get(what, OutcomeCounts()), count)
+                self.earlier_counts[what] = add_counts(
+                    self.earlier_counts.get(what, OutcomeCounts()), count
+                )
             self.counts = {}
         self.ticket = ticket
-        self.reported = load["running"] + load["waiting"]
+        self.reported_requests = load["running"] + load["waiting"]
         self.slots = load["slots"]
-        self.heard_at = clock.now()
+        self.last_reply_at = clock.now()
         self.rev = rev
-        self.health.record_success()
+        self.ejection.record_success()
         for item in counts:
             what = CountKey(ModelVersion(item["model"], item["version"]), item["since"])
             self.counts[what] = OutcomeCounts(item["ok"], item["bad"], item["slow"])
 
-    def seen(self) -> AgentView:
+    def view(self) -> AgentView:
         """For the choice among agents."""
-        return AgentView(self.addr, self.hall, self.own, self.reported, self.heard_at, self.slots)
+        return AgentView(
+            self.addr,
+            self.hall,
+            self.own_requests,
+            self.reported_requests,
+            self.last_reply_at,
+            self.slots,
+        )
 
 
 class Upstreams:
     """All agents of this entry's subset, by address, and which entries there are.
 
-    `live` holds the addresses of the entries that the box list holds live, and this one's.
+    `live_entries` holds the addresses of the entries that the box list holds live, and this one's.
     """
 
     def __init__(
-        self, node: str, hall: str, me: str, pool: Pool, size: int, rng: random.Random
+        self,
+        node: str,
+        hall: str,
+        entry_name: str,
+        pool: Pool,
+        subset_size: int,
+        rng: random.Random,
     ) -> None:
         self.node = node
         self.hall = hall
-        self.me = me
+        self.entry_name = entry_name
         self.pool = pool
-        self.size = size
+        self.subset_size = subset_size
         self.rng = rng
-        self.table: dict[str, Upstream] = {}
+        self.by_addr: dict[str, Upstream] = {}
         self.boxes: list[Box] = []
-        self.live = {ids.address(me)}
-        self._ordered: dict[tuple[str, ...], list[str]] = {}
+        self.live_entries = {ids.address(entry_name)}
+        self._ranked_entries: dict[tuple[str, ...], list[str]] = {}
 
-    def seed(self, addrs: list[str]) -> None:
+    def add_configured(self, addrs: list[str]) -> None:
         """Agents from the settings, for the time before the box list is read."""
         for addr in addrs:
-            self.table.setdefault(addr, Upstream(addr, ""))
+            self.by_addr.setdefault(addr, Upstream(addr, ""))
 
-    def take_boxes(self, boxes: list[Box]) -> None:
+    def update_boxes(self, boxes: list[Box]) -> None:
         """Take in the box list."""
         self.boxes = boxes
         live = {b["addr"] for b in boxes if b["role"] == "entry" and b["state"] == "live"}
-        self.live = live | {ids.address(self.me)}
-        self._ordered = {}
-        chosen = {box["addr"]: box for box in choose_subset(self.node, boxes, self.size)}
+        self.live_entries = live | {ids.address(self.entry_name)}
+        self._ranked_entries = {}
+        chosen = {box["addr"]: box for box in choose_subset(self.node, boxes, self.subset_size)}
         for addr, box in chosen.items():
-            up = self.table.setdefault(addr, Upstream(addr, box["hall"]))
+            up = self.by_addr.setdefault(addr, Upstream(addr, box["hall"]))
             up.hall = box["hall"]
             up.listed_leaving = box["state"] == "leaving"
-        for addr in list(self.table):
-            if addr not in chosen and not self.table[addr].own:
-                del self.table[addr]
+        for addr in list(self.by_addr):
+            if addr not in chosen and not self.by_addr[addr].own_requests:
+                del self.by_addr[addr]
 
-    def entries(self) -> int:
+    def entry_count(self) -> int:
         """How many entries there are."""
-        return len(self.live)
+        return len(self.live_entries)
 
-    def ordered(self, *salt: str) -> list[str]:
+    def ranked_entries(self, *salt: str) -> list[str]:
         """All entries in an order that the salt gives, kept until the box list changes."""
-        if salt not in self._ordered:
-            self._ordered[salt] = sorted(self.live, key=lambda addr: hash_fraction(*salt, addr))
-        return self._ordered[salt]
+        if salt not in self._ranked_entries:
+            self._ranked_entries[salt] = sorted(
+                self.live_entries, key=lambda addr: hash_fraction(*salt, addr)
+            )
+        return self._ranked_entries[salt]
 
     def rank(self, salt: str) -> int:
         """This entry's place among all, from 0, in an order that the salt gives."""
-        return self.ordered(salt).index(ids.address(self.me))
+        return self.ranked_entries(salt).index(ids.address(self.entry_name))
 
     def candidates(self, mv: ModelVersion, service: str) -> list[Upstream]:
         """Agents that may get a request for a version or a service now."""
         now = clock.now()
         if service:
-            return [u for u in self.table.values() if u.service == service and u.usable(now)]
-        return [u for u in self.table.values() if mv.text in u.versions and u.usable(now)]
+            return [u for u in self.by_addr.values() if u.service == service and u.usable(now)]
+        return [u for u in self.by_addr.values() if mv.text in u.versions and u.usable(now)]
 
-    def choose(self, mv: ModelVersion, service: str, prefix: str) -> list[Upstream]:
+    def ranked_agents(self, mv: ModelVersion, service: str, prefix: str) -> list[Upstream]:
         """Agents to try, best first."""
         found = self.candidates(mv, service)
         now = clock.now()
-        addrs = rank_agents([u.seen() for u in found], now, self.hall, prefix, self.rng)
-        return [self.table[addr] for addr in addrs]
+        addrs = rank_agents([u.view() for u in found], now, self.hall, prefix, self.rng)
+        return [self.by_addr[addr] for addr in addrs]
 
-    def listing(self) -> list[UpstreamLine]:
+    def report_lines(self) -> list[UpstreamLine]:
         """All agents of the subset, for people and checks."""
         now = clock.now()
         return [
@@ -170,39 +187,39 @@
                 name=up.name,
                 hall=up.hall,
                 usable=up.usable(now),
-                own=up.own,
-                reported=up.reported,
+                own=up.own_requests,
+                reported=up.reported_requests,
                 rev=up.rev,
             )
-            for up in self.table.values()
+            for up in self.by_addr.values()
         ]
 
-    def totals(self, mv: ModelVersion, since: int | None = None) -> OutcomeCounts:
+    def total_counts(self, mv: ModelVersion, since: int | None = None) -> OutcomeCounts:
         """What all agents of the subset have seen of a version, or of it in one roll-out."""
         total = OutcomeCounts()
-        for up in self.table.values():
-            for what, count in (*up.counts.items(), *up.past.items()):
+        for up in self.by_addr.values():
+            for what, count in (*up.counts.items(), *up.earlier_counts.items()):
                 if what.mv == mv and since in (None, what.since):
                     total = add_counts(total, count)
         return total
 
-    def take_head(self, up: Upstream, head: Head) -> None:
+    def record_head(self, up: Upstream, head: Head) -> None:
         """Take in the head of a reply, which also tells that an agent is leaving."""
-        up.heard(head["agent"], head["load"], head["counts"], head["rev"])
+        up.record_reply(head["agent"], head["load"], head["counts"], head["rev"])
         if head["reason"] == "leaving":
             up.alive = False
 
-    async def follow_boxes(self, platform: str) -> None:
+    async def follow_box_list(self, platform: str) -> None:
         """Read the box list now and then, until cancelled."""
         seen = ""
         while True:
             found = await box_list(self.pool, platform, seen)
             if isinstance(found, Boxes):
                 seen = found.tag
-                self.take_boxes(found.boxes)
-            await curio.sleep(BOXES_PERIOD_S * random.uniform(0.75, 1.25))
+                self.update_boxes(found.boxes)
+            await curio.sleep(BOX_LIST_PERIOD_S * random.uniform(0.75, 1.25))
 
-    async def poll(self, rev: list[int]) -> None:
+    async def poll_agents(self, rev: list[int]) -> None:
         """Ask agents that have been silent how they are, until cancelled.
 
         `rev` holds this entry's configuration revision, which rides on the question.
@@ -211,34 +228,34 @@
         """
         while True:
             now = clock.now()
-            lost, idle = self._silent(now)
-            for up in (*lost[:LOST_POLLS], *idle[:IDLE_POLLS]):
+            lost, idle = self._agents_to_poll(now)
+            for up in (*lost[:MAX_UNUSABLE_POLLS], *idle[:MAX_IDLE_POLLS]):
                 up.polling, up.polled_at = True, now
-                await curio.spawn(self._ask, up, rev[0], daemon=True)
-            await curio.sleep(POLL_S)
+                await curio.spawn(self._poll_agent, up, rev[0], daemon=True)
+            await curio.sleep(POLL_PERIOD_S)
 
-    def _silent(self, now: float) -> tuple[list[Upstream], list[Upstream]]:
+    def _agents_to_poll(self, now: float) -> tuple[list[Upstream], list[Upstream]]:
         """Agents to ask: those that are not in use, and those not heard lately, longest first."""
-        free = [u for u in self.table.values() if not u.polling]
+        free = [u for u in self.by_addr.values() if not u.polling]
         free.sort(key=lambda u: u.polled_at)
         lost = [u for u in free if not u.usable(now)]
-        idle = [u for u in free if u.usable(now) and now - u.heard_at > IDLE_S]
+        idle = [u for u in free if u.usable(now) and now - u.last_reply_at > IDLE_AFTER_S]
         return lost, idle
 
-    async def _ask(self, up: Upstream, rev: int) -> None:
-        body = encode(StatusMsg(entry=self.me, rev=rev))
+    async def _poll_agent(self, up: Upstream, rev: int) -> None:
+        body = encode(StatusMsg(entry=self.entry_name, rev=rev))
         got = await call(self.pool, up.addr, "POST", "/a/status", body, POLL_TIMEOUT_S)
         up.polling = False
         status = BadMessage("") if isinstance(got, CallFailed) else decode(got.body, AgentStatus)
         if isinstance(status, BadMessage):
-            up.health.record_failure(clock.now())
+            up.ejection.record_failure(clock.now())
             if up.alive and isinstance(got, CallFailed) and not got.sent:
                 logger.info("agent {} does not answer", up.addr)
                 up.alive = False
             return
         if ids.address(status["agent"]) != up.addr:
             return
-        up.heard(status["agent"], status["load"], status["counts"], status["rev"])
+        up.record_reply(status["agent"], status["load"], status["counts"], status["rev"])
         up.alive = status["state"] == "live"
         up.name = status["name"]
         up.hall = status["hall"]
--- a/tests/harness/ablated.py
+++ b/tests/harness/ablated.py
@@ -62,7 +62,7 @@
 
 def no_copies() -> None:
     """No entry has its bill lines copied to another hall."""
-    copies.Copies.add = lambda self, line: None  # type: ignore[method-assign]
+    copies.BillLineCopies.add = lambda self, line: None  # type: ignore[method-assign]
 
 
 def no_frame_checks() -> None:
--- a/tests/test_claimlog.py
+++ b/tests/test_claimlog.py
@@ -153,7 +153,7 @@
     names = keys_of_shard(3, MAX_HEAD_RECORDS + 10)
     for name in names:
         await writer.claim(claim(name, "first"))
-    assert await writer.read(3) and await writer.expire(3) == 0
+    assert await writer.read_shard(3) and await writer.expire(3) == 0
     out = await other.claim(claim(names[0], "second"))
     await task.cancel()
     return out
@@ -180,7 +180,7 @@
             await group.spawn(caller, number)
             await curio.sleep(1 / CLAIMS_S)
     await task.cancel()
-    return outs, log.groups
+    return outs, log.groups_written
 
 
 def test_claims_over_the_platforms_rate_wait_for_each_other(seed: Path) -> None:
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -4,7 +4,7 @@
 
 import random
 
-from ramppost.entry.copies import Copies
+from ramppost.entry.copies import BillLineCopies
 from ramppost.entry.upstreams import Upstreams
 from ramppost.ledger import Filer
 from ramppost.platform.objects import Client
@@ -22,11 +22,13 @@
 
 def test_a_stopping_entry_files_what_nobody_settled() -> None:
     pool = Pool()
-    copies = Copies(Upstreams("e", "h", ME, pool, 8, random.Random()), pool, ME, keep_s=60.0)
-    filer = Filer(Client("127.0.0.1:1", pool), ME, 1.0, lambda lines: copies.settled(lines))
-    copies.take(CopiesMsg(entry="other", lines=[line("settled"), line("unsettled")]))
-    copies.settle(["settled"])
-    copies.file_kept(filer, 60.0)
+    copies = BillLineCopies(
+        Upstreams("e", "h", ME, pool, 8, random.Random()), pool, ME, keep_s=60.0
+    )
+    filer = Filer(Client("127.0.0.1:1", pool), ME, 1.0, lambda lines: copies.notify_settled(lines))
+    copies.add_received(CopiesMsg(entry="other", lines=[line("settled"), line("unsettled")]))
+    copies.drop_settled(["settled"])
+    copies.file_unsettled(filer, 60.0)
     assert filer.queue == []
-    copies.file_kept(filer, 0.0)
+    copies.file_unsettled(filer, 0.0)
     assert [x["attempt"] for x in filer.queue] == ["unsettled"]
