--- a/ramppost/gateway/copies.py
+++ b/ramppost/gateway/copies.py
@@ -1,8 +1,9 @@
-"""Gives other gateways copies of large objects, compressed.
+"""Serves compressed copies of large objects to other gateways.
 
-A configuration of 0.87 MB takes 1.5 s of a link of 0.6 MB/s.  Compressed it is a thirteenth:
-4,000 routes with names at random are 757 KB of JSON and 59 KB of a copy.  So whoever has it
-whole hands it on, and only the relays read it from the store.  `ramppost.gateway.loading` asks.
+A configuration of 0.87 MB occupies a link of 0.6 MB/s for 1.5 s.  Compression reduces it to a
+thirteenth: 4,000 routes with random names are 757 KB as JSON and 59 KB as a copy.  Therefore every
+gateway that has the complete object serves it, and only the relays read it from the store.  The
+client side is `ramppost.gateway.loading`.
 
     GET /x/copy?kind=config&name=main&revision=80
 """
@@ -23,58 +24,58 @@
 COPY_PATH: Final = "/x/copy"
 COPY_TYPE: Final = "application/octet-stream"
 LOADING_WAIT_S: Final = 0.3
-"""How long an answer is held back for an object that is being loaded here: some copies' time, and
-less than whoever asks waits for an answer to begin."""
+"""How long a response is delayed for an object that is being loaded here.  It covers the transfer
+of several copies and is shorter than the time that the client waits for a response to start."""
 
 
 class PackedCopy(NamedTuple):
-    """A copy ready to be sent, and the revision that it holds."""
+    """An encoded copy and the revision that it contains."""
 
     revision: int
     data: bytes
 
 
 def copy_handler(gw: Gateway) -> Handler:
-    """Answers what other gateways ask at `COPY_PATH`: 404 for what is not here as new."""
-    packed: dict[tuple[str, str], PackedCopy] = {}
+    """A handler for `COPY_PATH`; answers 404 if it lacks the object at that revision or later."""
+    cache: dict[tuple[str, str], PackedCopy] = {}
 
     async def handle(req: Request, reply: Reply) -> None:
         kind, name = req.query.get("kind", ""), req.query.get("name", "")
-        followed = gw.replicas.get(kind)
-        obj = await _wait_for_object(gw, followed, name) if followed is not None else None
+        replica = gw.replicas.get(kind)
+        obj = await _wait_for_object(gw, replica, name) if replica is not None else None
         if obj is None or obj.revision < _requested_revision(req):
             await reply.send(404, encode({"error": "not here, or not as new"}))
             return
-        held = packed.get((kind, name))
-        if held is None or held.revision != obj.revision:
-            held = packed[kind, name] = PackedCopy(obj.revision, encode_copy(obj))
-        await reply.send(200, held.data, COPY_TYPE)
+        cached = cache.get((kind, name))
+        if cached is None or cached.revision != obj.revision:
+            cached = cache[kind, name] = PackedCopy(obj.revision, encode_copy(obj))
+        await reply.send(200, cached.data, COPY_TYPE)
 
     return handle
 
 
-async def _wait_for_object(gw: Gateway, followed: KindReplica, name: str) -> StoredObject | None:
-    """The object, also where it is here in a moment."""
-    until = clock.now() + LOADING_WAIT_S
-    while name in followed.pending and (left_s := until - clock.now()) > 0:
+async def _wait_for_object(gw: Gateway, replica: KindReplica, name: str) -> StoredObject | None:
+    """Return the object, waiting briefly if it is still being loaded."""
+    deadline = clock.now() + LOADING_WAIT_S
+    while name in replica.pending and (left_s := deadline - clock.now()) > 0:
         await gw.updates.wait(left_s)
-    return followed.complete_object(name)
+    return replica.complete_object(name)
 
 
 def _requested_revision(req: Request) -> float:
-    """The revision that is asked for; infinite where that is no number."""
+    """The requested revision; infinite if it is not a number."""
     text = req.query.get("revision", "")
     return int(text) if text.isdecimal() else float("inf")
 
 
 def encode_copy(obj: StoredObject) -> bytes:
-    """An object as it is sent."""
+    """Encode and compress an object for sending."""
     copy = ObjectCopy(revision=obj.revision, spec=obj.spec, status=obj.status)
     return packing.pack(encode(copy))
 
 
 def decode_copy(name: str, data: bytes) -> StoredObject | BadMessage:
-    """An object as it was sent.
+    """Decompress and decode a received object.
 
     >>> decode_copy("main", encode_copy(StoredObject("main", 7, {"version": 1}, None)))
     StoredObject(name='main', revision=7, spec={'version': 1}, status=None, whole=True)
--- a/ramppost/gateway/counts.py
+++ b/ramppost/gateway/counts.py
@@ -1,6 +1,6 @@
-"""What a gateway counts for its operators: policies, and classes by workspace and route.
+"""Statistics for operators: per policy, and per class of workspace and route.
 
-All of it is lost with the process.
+They are kept in memory only and are lost when the process ends.
 """
 
 from __future__ import annotations
@@ -14,14 +14,17 @@
 from ramppost.schema.messages import Report
 
 OBJECTIVE_SHARE: Final = 0.99
-"""Part of the requests that must be within their route's objective; the platform names none."""
+"""Share of requests that must meet their route's objective; the platform does not configure one."""
 MAX_CLASSES: Final = 4096
-"""Classes that are counted: workspaces times routes, which a configuration may add by hundreds."""
+"""Maximum number of classes: workspaces times routes, which a configuration may add by hundreds."""
 
 
 class EndedRequest(NamedTuple):
-    """A request that has ended.  `took_s` is the time to the head of its answer, or to its end;
-    `policy` is empty where the caller named a model; `confidence` is 0 to 100."""
+    """A request that has ended.
+
+    `took_s` is the time to the head of its response, or to its end; `policy` is empty if the caller
+    named a model; `confidence` is 0 to 100.
+    """
 
     workspace: str
     route: str
@@ -34,7 +37,7 @@
 
 
 class ClassCount:
-    """Counts of a class."""
+    """Statistics of a class."""
 
     def __init__(self) -> None:
         self.window = OutcomeWindow()
@@ -42,14 +45,14 @@
 
 
 class Counts:
-    """Everything counted."""
+    """All statistics of this gateway."""
 
     def __init__(self) -> None:
         self.policies: dict[str, PolicyStats] = {}
         self.classes: dict[WorkspaceClass, ClassCount] = {}
 
     def record(self, req: EndedRequest) -> None:
-        """Count a request's end."""
+        """Count a request that has ended."""
         cls = self._count_for(req)
         cls.window.add(req.served and req.took_s <= req.objective_s, time.time())
         if req.served:
@@ -64,7 +67,7 @@
             count.ratings.add(req.confidence / 100)
 
     def report(self, name: str) -> Report:
-        """What the operators are told."""
+        """The statistics as reported to operators."""
         now = time.time()
         return Report(
             entry=name,
@@ -89,18 +92,18 @@
         return self.classes.setdefault(cls, ClassCount())
 
 
-def percentile_ms(histogram: Histogram, part: float) -> float:
-    """Upper bound of the bucket that a part of the values reaches, in milliseconds.
+def percentile_ms(histogram: Histogram, quantile: float) -> float:
+    """Upper bound of the bucket that contains the given quantile, in milliseconds.
 
-    >>> seen = Histogram()
-    >>> for seconds in (0.02, 0.02, 0.3): seen.observe(seconds)
-    >>> percentile_ms(seen, 0.5), percentile_ms(seen, 0.99)
+    >>> histogram = Histogram()
+    >>> for seconds in (0.02, 0.02, 0.3): histogram.observe(seconds)
+    >>> percentile_ms(histogram, 0.5), percentile_ms(histogram, 0.99)
     (25.0, 400.0)
     """
-    wanted = part * sum(histogram.counts)
-    passed = 0
+    target = quantile * sum(histogram.counts)
+    cumulative = 0
     for bound_s, count in zip(BUCKETS_S, histogram.counts, strict=False):
-        passed += count
-        if passed >= wanted:
+        cumulative += count
+        if cumulative >= target:
             return bound_s * 1000
     return BUCKETS_S[-1] * 1000
--- a/ramppost/gateway/datagrams.py
+++ b/ramppost/gateway/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between gateways, on the internal port: what may be lost without harm."""
+"""Datagrams between gateways on the internal port, for messages that may be lost without harm."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 Address = tuple[str, int]
 DatagramHandler = Callable[[PeerDatagram, Address], Awaitable[None]]
-"""Takes in what came from an address."""
+"""Handles a message received from an address."""
 
 
 class Datagrams:
-    """The socket of a gateway; nothing is sent before it listens."""
+    """The UDP socket of a gateway; messages are discarded until it listens."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
         self._sock: Any = None
 
-    async def listen(self, ip: str, port: int, take: DatagramHandler) -> None:
-        """Take in datagrams until cancelled."""
+    async def listen(self, ip: str, port: int, handle: DatagramHandler) -> None:
+        """Receive datagrams and pass them to the handler, until cancelled."""
         sock = curio.socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind((ip, port))
         self._sock = sock
@@ -37,16 +37,16 @@
                 data, addr = await sock.recvfrom(MAX_DATAGRAM_BYTES)
                 msg = decode(data, PeerDatagram)
                 if isinstance(msg, BadMessage):
-                    logger.warning("datagram not understood: {}", msg.reason, peer=addr[0])
+                    logger.warning("invalid datagram: {}", msg.reason, peer=addr[0])
                 else:
-                    await take(msg, addr)
+                    await handle(msg, addr)
 
     def send(self, addr: Address, msg: PeerDatagram) -> None:
-        """Send without waiting; one that can't be sent is lost."""
+        """Send without waiting; a datagram that can't be sent is dropped."""
         if self._sock is None:
             return
         try:
             self._sock._socket.sendto(encode(msg), addr)
         except OSError as exc:
-            logger.debug("datagram not sent: {!r}", exc)
+            logger.debug("failed to send datagram: {!r}", exc)
             self._metrics.count("ramppost_datagrams_unsent_total")
--- a/ramppost/gateway/metrics.py
+++ b/ramppost/gateway/metrics.py
@@ -1,8 +1,7 @@
-"""Counters and latency histograms, as text for a scraper.
+"""Counters and latency histograms, exported in the Prometheus text format.
 
-Counting is plain additions, so that a request costs next to nothing; `aioprometheus` is
-imported when the figures are first asked for, since its import takes longer than all
-else at a start.
+Counting only adds numbers, so its cost per request is negligible.  `aioprometheus` is imported when
+the metrics are first requested, because importing it takes longer than the rest of the startup.
 """
 
 from __future__ import annotations
@@ -11,26 +10,26 @@
 from typing import Final
 
 BUCKETS_S: Final = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0, 25.0)
-"""Upper bounds, from a plain call's usual time to the longest objective's deadline."""
+"""Upper bounds, from a plain request's usual duration to the longest objective's deadline."""
 
 Labels = tuple[tuple[str, str], ...]
 
 
 class Histogram:
-    """Counts of seconds by bucket."""
+    """A histogram of durations in seconds."""
 
     def __init__(self) -> None:
         self.counts = [0] * (len(BUCKETS_S) + 1)
         self.total_s = 0.0
 
     def observe(self, seconds: float) -> None:
-        """Take in one."""
+        """Add a duration."""
         self.counts[bisect.bisect_left(BUCKETS_S, seconds)] += 1
         self.total_s += seconds
 
 
 class Metrics:
-    """All that is counted, by name and labels."""
+    """All metrics, by name and labels."""
 
     def __init__(self) -> None:
         self.counters: dict[tuple[str, Labels], float] = {}
@@ -38,17 +37,17 @@
         self.histograms: dict[tuple[str, Labels], Histogram] = {}
 
     def count(self, name: str, by: float = 1, **labels: str) -> None:
-        """Add to a counter."""
+        """Increase a counter."""
         key = (name, tuple(sorted(labels.items())))
         self.counters[key] = self.counters.get(key, 0) + by
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Add to a histogram of seconds."""
+        """Add a duration to a histogram."""
         key = (name, tuple(sorted(labels.items())))
         self.histograms.setdefault(key, Histogram()).observe(seconds)
 
     def text(self) -> bytes:
-        """All figures in the text format of Prometheus."""
+        """All metrics in the Prometheus text format."""
         from aioprometheus.collectors import Counter, Gauge, Registry
         from aioprometheus.renderer import render
 
@@ -57,7 +56,7 @@
 
         def family(kind: type[Counter] | type[Gauge], name: str) -> Counter | Gauge:
             if name not in families:
-                # Without a registry of its own it would enter, for good, that of the process.
+                # Without an explicit registry it would be added to the global one permanently.
                 families[name] = kind(name, name.replace("_", " "), registry=registry)
             return families[name]
 
@@ -73,11 +72,11 @@
     def _add_histogram(  # type: ignore[no-untyped-def]
         self, family, counter, name: str, labels: dict[str, str], histogram: Histogram
     ) -> None:
-        """A histogram as cumulative counters, since ours is already counted."""
-        so_far = 0
+        """Export a histogram as cumulative counters, because its values are already counted."""
+        cumulative = 0
         bounds = [str(bound) for bound in BUCKETS_S] + ["+Inf"]
         for bound, count in zip(bounds, histogram.counts, strict=True):
-            so_far += count
-            family(counter, f"{name}_bucket").set({**labels, "le": bound}, so_far)
-        family(counter, f"{name}_count").set(labels, so_far)
+            cumulative += count
+            family(counter, f"{name}_bucket").set({**labels, "le": bound}, cumulative)
+        family(counter, f"{name}_count").set(labels, cumulative)
         family(counter, f"{name}_sum").set(labels, histogram.total_s)
--- a/ramppost/gateway/policies.py
+++ b/ramppost/gateway/policies.py
@@ -1,4 +1,4 @@
-"""The policies in force at a gateway, from a document of ours in the store."""
+"""The policies in force at a gateway, read from a document in the store."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 POLICY_KIND: Final = "policies"
 POLICY_NAME: Final = "main"
-"""The one document of this kind; a kind of our own in the store."""
+"""The only document of this kind, which is specific to ramppost."""
 
 
 class Policies:
-    """The newest document, and the whole configuration that it makes with what is known."""
+    """The newest policy document, and the configuration derived from it and the routing table."""
 
     def __init__(self) -> None:
         self.doc: PolicyDoc = empty_doc([])
@@ -33,10 +33,10 @@
         self._known = PlatformCatalog({}, [])
 
     def update(self, obj: StoredObject) -> None:
-        """A document is in the store; one that is older or not understood changes nothing."""
+        """Apply a document from the store; an older or invalid one is ignored."""
         doc = decode(encode(obj.spec), PolicyDoc)
         if isinstance(doc, BadMessage):
-            logger.error("policies not understood: {}", doc.reason, revision=obj.revision)
+            logger.error("invalid policy document: {}", doc.reason, revision=obj.revision)
             return
         if obj.name != POLICY_NAME or obj.revision <= self.revision:
             return
@@ -50,7 +50,7 @@
         )
 
     def set_table(self, table: RoutingTable) -> None:
-        """A configuration of the platform is in force."""
+        """Use the prices and workspaces of the platform's current configuration."""
         prices: dict[str, float] = {}
         for service in table.services.values():
             if service.engine is not None:
@@ -59,13 +59,13 @@
         self._known, self._config = PlatformCatalog(prices, names), None
 
     def config(self) -> ConfigDoc:
-        """The whole configuration, as intents are applied to it."""
+        """The full configuration, to which intents are applied."""
         if self._config is None:
             self._config = to_config(self.doc, max(1, self.revision), self._known)
         return self._config
 
-    def policy_for(self, workspace: str, who: str) -> Policy:
-        """The policy of a workspace's session or request."""
+    def policy_for(self, workspace: str, request_id: str) -> Policy:
+        """The policy for a session or request of a workspace."""
         if not self.doc["workspaces"]:
             return DEFAULT_POLICY
-        return effective_policy(self.config(), workspace, who)
+        return effective_policy(self.config(), workspace, request_id)
--- a/ramppost/gateway/pools.py
+++ b/ramppost/gateway/pools.py
@@ -1,7 +1,7 @@
-"""What choices among engines need of a whole list of them, kept until the list changes.
+"""Caches data derived from lists of engines until the lists change.
 
-With 600 engines, hashing and sorting all of them for each request would cost more than all else
-that is done for it.
+With 600 engines, hashing and sorting all of them would cost more than everything else that is done
+for a request.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from ramppost.policy.placement import EnginePool, build_pool
 
 MAX_CACHED_LISTS: Final = 4
-"""Lists of a service that are in use at once: all, and both sides of a roll-out."""
+"""Lists cached per service: all upstreams, and both sides of a roll-out, are in use at once."""
 
 
 class Candidates(NamedTuple):
-    """A list of engines, the same by key, and what is worked out of it."""
+    """A list of engines, the same engines by key, and the pool computed from them."""
 
     listed: list[Upstream]
     by_key: dict[str, Upstream]
@@ -24,20 +24,20 @@
 
 
 class Pools:
-    """The lists of each service that were asked for last."""
+    """The most recently added lists of each service."""
 
     def __init__(self) -> None:
         self._cache: dict[str, list[Candidates]] = {}
 
     def candidates(self, service: str, listed: list[Upstream]) -> Candidates:
-        """The candidates of a list, which must not be changed afterwards."""
-        kept = self._cache.setdefault(service, [])
-        for found in kept:
+        """The candidates for a list; the caller must not modify the list afterwards."""
+        cached = self._cache.setdefault(service, [])
+        for found in cached:
             if found.listed is listed:
                 return found
         by_key = {upstream.key: upstream for upstream in listed}
         halls = {key: upstream.hall for key, upstream in by_key.items()}
         found = Candidates(listed, by_key, build_pool(halls))
-        kept.insert(0, found)
-        del kept[MAX_CACHED_LISTS:]
+        cached.insert(0, found)
+        del cached[MAX_CACHED_LISTS:]
         return found
--- a/ramppost/gateway/regions.py
+++ b/ramppost/gateway/regions.py
@@ -42,9 +42,9 @@
         required = tuple(allowed for allowed in home_regions if allowed)
         if not required:
             return listed
-        for kept in self._cache:
-            if kept.listed is listed and kept.home_regions == required:
-                return kept.matching
+        for cached in self._cache:
+            if cached.listed is listed and cached.home_regions == required:
+                return cached.matching
         matching = [
             upstream
             for upstream in listed
--- a/ramppost/gateway/rollout_duty.py
+++ b/ramppost/gateway/rollout_duty.py
@@ -1,7 +1,7 @@
-"""Drives roll-outs to their end: completed in time, or rolled back at the first proof.
+"""Drives roll-outs to their end: completes them on time, or rolls back as soon as a version fails.
 
-Any gateway may end one, by a conditional write of its status.  A gateway that holds a
-version to be bad stops sending to it at once, whether or not the store can be told.
+Any gateway may end a roll-out with a conditional write of its status.  A gateway that considers a
+version bad stops sending requests to it at once, even if it can't write to the store.
 """
 
 from __future__ import annotations
@@ -38,24 +38,24 @@
 
 CHECK_INTERVAL_S: Final = 0.1
 WRITE_SPREAD_S: Final = 0.25
-"""Relays act within this of each other, and so do the others after them."""
+"""Relays spread their writes over this time, and the other gateways do so after them."""
 RETRY_DELAY_S: Final = 0.3
 READ_SESSIONS_LEAD: Final = 0.02
-"""Part of a roll-out's time by which the sessions of others are read before any moves."""
+"""Fraction of the duration by which other gateways' sessions are read before any session moves."""
 PROGRESS_KIND: Final = "rollout-progress"
 SESSIONS_KIND: Final = "rollout-sessions"
 FIRST_MOVE_AT: Final = RAMP_STEPS[1].start
 
 
 class OldSessions(TypedDict):
-    """Sessions that one gateway saw on the former version as a roll-out began."""
+    """Sessions that one gateway saw on the old version when a roll-out began."""
 
     version: str
     sessions: list[str]
 
 
 class Progress(TypedDict):
-    """How far a roll-out has come, for gateways that saw the order late or start in the middle."""
+    """Progress of a roll-out, for gateways that saw the order late or start in the middle."""
 
     version: str
     part: float
@@ -64,7 +64,7 @@
 def evaluate_answer(
     gw: Gateway, running: Running, bad: bool, passed: Forwarded | None = None
 ) -> None:
-    """Take an answer in as evidence for or against its version."""
+    """Use an answer as evidence for or against the version that gave it."""
     chosen = running.chosen
     service = chosen.service.name
     rollout = gw.rollouts.get(service)
@@ -73,14 +73,14 @@
     if reason:
         assert rollout is not None
         logger.warning(
-            "version held to be bad: {}", reason, service=service, version=rollout.order.version
+            "version is considered bad: {}", reason, service=service, version=rollout.order.version
         )
 
 
 def _is_slow(gw: Gateway, running: Running, passed: Forwarded, rollout: Rollout | None) -> bool:
-    """Whether an answer took several times what the version in service usually takes."""
+    """Whether an answer took several times as long as the current version usually takes."""
     service = running.chosen.service.name
-    pace = gw.timing_baselines.setdefault((service, running.model), TimingBaseline())
+    baseline = gw.timing_baselines.setdefault((service, running.model), TimingBaseline())
     gap_s = (passed.last_s - passed.first_s) / max(1, passed.events)
     timing = Timing(passed.first_s, gap_s)
     on_trial = (
@@ -89,22 +89,22 @@
         and running.chosen.upstream.version == rollout.order.version
     )
     if not on_trial:
-        pace.record(timing)
-    return pace.is_slow(timing)
+        baseline.record(timing)
+    return baseline.is_slow(timing)
 
 
 async def drive_rollouts(gw: Gateway) -> None:
-    """End roll-outs that are due, until cancelled."""
-    noted: dict[str, int] = {}
+    """Drive all roll-outs and end those that are due, until cancelled."""
+    saved_steps: dict[str, int] = {}
     while True:
         await curio.sleep(CHECK_INTERVAL_S)
         for rollout in gw.rollouts.all():
             if rollout.order.state != "ordered":
                 continue
             now = clock.now()
-            place = hash_fraction("duty", gw.cfg["name"], rollout.order.service)
+            spread = hash_fraction("duty", gw.cfg["name"], rollout.order.service)
             part = rollout.elapsed_fraction(
-                now - gw.peers.write_delay_s(WRITE_SPREAD_S, place, now)
+                now - gw.peers.write_delay_s(WRITE_SPREAD_S, spread, now)
             )
             if rollout.withdrawal_reason:
                 await _finish(gw, rollout, completed=False)
@@ -112,16 +112,18 @@
                 await _finish(gw, rollout, completed=True)
             else:
                 await _exchange_sessions(gw, rollout, now)
-                await _save_progress(gw, rollout, part, noted)
+                await _save_progress(gw, rollout, part, saved_steps)
 
 
 async def _finish(gw: Gateway, rollout: Rollout, completed: bool) -> None:
-    """Write the status that ends a roll-out, if it has none yet."""
+    """Write the status that ends a roll-out, unless it already has one."""
     order = rollout.order
     status = rollout_status(order, completed)
     got = await set_status(gw.store, names.ROLLOUT_KIND, order.service, order.revision, status)
     if isinstance(got, Unavailable):
-        logger.warning("roll-out not ended yet: {}", got.reason, service=order.service)
+        logger.warning(
+            "failed to write the end of the roll-out: {}", got.reason, service=order.service
+        )
         await curio.sleep(RETRY_DELAY_S)
         return
     if isinstance(got, Conflict):
@@ -140,14 +142,16 @@
 
 
 async def _refresh(gw: Gateway, order: RolloutOrder) -> None:
-    """Another gateway wrote first, or an earlier write of ours was done after all."""
+    """Read the order after a conflict with another gateway or with an earlier write by this one."""
     got = await read(gw.store, names.ROLLOUT_KIND, order.service)
     if isinstance(got, StoredObject):
         seen = rollout_order(got)
         if not isinstance(seen, BadMessage):
             gw.rollouts.update(seen, clock.now())
             return
-    logger.info("roll-out changed meanwhile", service=order.service, found=type(got).__name__)
+    logger.info(
+        "roll-out was changed concurrently", service=order.service, found=type(got).__name__
+    )
     if isinstance(got, Missing):
         gw.rollouts.remove(order.service)
     else:
@@ -155,9 +159,9 @@
 
 
 async def _exchange_sessions(gw: Gateway, rollout: Rollout, now: float) -> None:
-    """Tell the others which sessions run on the former version, and hear theirs.
+    """Publish the sessions that run on the old version, and read those of the other gateways.
 
-    A session that goes on at another gateway would else be moved there.
+    Otherwise a session that continues at another gateway would be moved to the new version there.
     """
     part = rollout.elapsed_fraction(now)
     if part >= ANNOUNCE_AT and not rollout.sessions_published:
@@ -188,31 +192,35 @@
     order = rollout.order
     got = await list_kind(gw.store, SESSIONS_KIND)
     if isinstance(got, Unavailable):
-        logger.warning("sessions of other gateways not read: {}", got.reason)
+        logger.warning("failed to read the sessions of other gateways: {}", got.reason)
         return
     for obj in got.objects:
-        told = gw.unreadable.decode_spec(SESSIONS_KIND, obj, OldSessions)
-        ours = obj.name.startswith(f"{order.service}.")
-        if told is not None and ours and told["version"] == order.version:
-            rollout.old_version_sessions.update(told["sessions"])
+        published = gw.unreadable.decode_spec(SESSIONS_KIND, obj, OldSessions)
+        same_service = obj.name.startswith(f"{order.service}.")
+        if published is not None and same_service and published["version"] == order.version:
+            rollout.old_version_sessions.update(published["sessions"])
     logger.info(
-        "sessions under way heard", service=order.service, count=len(rollout.old_version_sessions)
+        "read sessions of all gateways",
+        service=order.service,
+        count=len(rollout.old_version_sessions),
     )
 
 
-async def _save_progress(gw: Gateway, rollout: Rollout, part: float, noted: dict[str, int]) -> None:
-    """Keep in the store which step a roll-out has reached."""
+async def _save_progress(
+    gw: Gateway, rollout: Rollout, part: float, saved_steps: dict[str, int]
+) -> None:
+    """Save progress to the store when a roll-out reaches a new step."""
     step = sum(part >= step.start for step in RAMP_STEPS)
     key = f"{rollout.order.service}/{rollout.order.version}"
-    if step <= noted.get(key, 0):
+    if step <= saved_steps.get(key, 0):
         return
-    noted[key] = step
+    saved_steps[key] = step
     if gw.rollouts.reported_fraction(rollout.order) < RAMP_STEPS[step - 1].start:
         await write_progress(gw, rollout, part)
 
 
 async def write_progress(gw: Gateway, rollout: Rollout, part: float) -> None:
-    """Write how far a roll-out has come, unless the store has it further on already."""
+    """Write a roll-out's progress unless the store already has a later one."""
     order = rollout.order
     spec = Progress(version=order.version, part=part)
     found = await read(gw.store, PROGRESS_KIND, order.service)
@@ -223,7 +231,7 @@
 
 
 def progress_changed(gw: Gateway, obj: StoredObject) -> None:
-    """Be no further back than the store says that a roll-out is."""
+    """Apply the progress of a roll-out from the store."""
     progress = gw.unreadable.decode_spec(PROGRESS_KIND, obj, Progress)
     if progress is None:
         return
@@ -231,5 +239,9 @@
 
 
 def _is_ahead(gw: Gateway, found: StoredObject, spec: Progress) -> bool:
-    held = gw.unreadable.decode_spec(PROGRESS_KIND, found, Progress)
-    return held is not None and held["version"] == spec["version"] and held["part"] >= spec["part"]
+    stored = gw.unreadable.decode_spec(PROGRESS_KIND, found, Progress)
+    return (
+        stored is not None
+        and stored["version"] == spec["version"]
+        and stored["part"] >= spec["part"]
+    )
--- a/ramppost/gateway/rollouts.py
+++ b/ramppost/gateway/rollouts.py
@@ -1,8 +1,8 @@
-"""Roll-outs of services: how far each is, who is on the new version, what speaks against it.
+"""Tracks roll-outs of services: progress, assignment of sessions to versions, and health.
 
-Every gateway keeps its own steady clock of each roll-out from when it saw the order.
-How far one had come is kept in the store, so that a gateway that starts in the middle
-goes on from there instead of from the beginning.
+Every gateway measures the progress of a roll-out on its own monotonic clock, from when it saw the
+order.  Progress is also saved in the store, so that a gateway that starts in the middle of a
+roll-out continues from there instead of from the beginning.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Rollout:
-    """A roll-out under way."""
+    """The roll-out of a service, as seen by this gateway."""
 
     def __init__(self, order: RolloutOrder, seen_at: float) -> None:
         self.order = order
@@ -25,20 +25,20 @@
         self.trial_upstreams = 1
         self._split: tuple[list[Upstream], VersionSplit] | None = None
         self.old_version_sessions: set[str] = set()
-        """Sessions that ran on the former version as the roll-out began, at any gateway."""
+        """Sessions that ran on the old version at any gateway when the roll-out began."""
         self.sessions_published = False
-        """Whether this gateway has told those of its own."""
+        """Whether this gateway has published its own such sessions."""
         self.sessions_read = False
-        """Whether it has read those of others."""
+        """Whether it has read those of the other gateways."""
         self.withdrawal_reason = ""
-        """Why this gateway holds the version to be bad, empty while it does not."""
+        """Why this gateway considers the version bad; empty if it does not."""
 
     def elapsed_fraction(self, now: float) -> float:
-        """Part of its time that has passed."""
+        """Fraction of the roll-out's duration that has passed."""
         return (now - self.started_at) / max(0.001, self.order.duration_s)
 
     def split(self, usable: list[Upstream]) -> VersionSplit:
-        """Upstreams by version; the same lists for the same list."""
+        """Split upstreams by version; returns the same list objects for the same input list."""
         if self._split is None or self._split[0] is not usable:
             version = self.order.version
             new = [upstream for upstream in usable if upstream.version == version]
@@ -48,14 +48,14 @@
 
 
 class VersionSplit(NamedTuple):
-    """The upstreams of the new version, and those of others."""
+    """The upstreams of the new version and those of any other version."""
 
     new: list[Upstream]
     old: list[Upstream]
 
 
 class Progress(NamedTuple):
-    """The part of its time that a version's roll-out had reached somewhere, at a time."""
+    """The fraction of its duration that a version's roll-out has reached at a gateway, and when."""
 
     version: str
     fraction: float
@@ -63,14 +63,14 @@
 
 
 class EligibleUpstreams(NamedTuple):
-    """Which upstreams may take a request, those to be preferred first."""
+    """The upstreams that may receive a request; those in `preferred` are considered first."""
 
     preferred: list[Upstream]
     fallback: list[Upstream]
 
 
 class Rollouts:
-    """The newest order of each service, and where sessions ran."""
+    """The newest roll-out of each service, and the version of each recent session."""
 
     def __init__(self, session_s: float) -> None:
         self.pins = SessionPins(session_s)
@@ -78,7 +78,7 @@
         self._progress: dict[str, Progress] = {}
 
     def update(self, order: RolloutOrder, now: float) -> bool:
-        """An order or its state; true if it is new."""
+        """Apply an order or a change of its state; returns whether the order is new."""
         known = self._by_service.get(order.service)
         if known is not None and known.order.version == order.version:
             if order.revision >= known.order.revision:
@@ -89,64 +89,74 @@
         return True
 
     def remove(self, service: str) -> None:
-        """The order is gone."""
+        """Apply the removal of a service's order."""
         self._by_service.pop(service, None)
 
     def get(self, service: str) -> Rollout | None:
-        """The newest order of a service."""
+        """The newest roll-out of a service."""
         return self._by_service.get(service)
 
     def all(self) -> list[Rollout]:
-        """Every order known."""
+        """All known roll-outs."""
         return list(self._by_service.values())
 
-    def update_progress(self, service: str, version: str, part: float, now: float) -> None:
-        """Some gateway had come this far with a version; its order may not be known yet."""
-        self._progress[service] = Progress(version, part, now)
+    def update_progress(self, service: str, version: str, fraction: float, now: float) -> None:
+        """Apply progress reported by some gateway; the order itself may not be known yet."""
+        self._progress[service] = Progress(version, fraction, now)
         self._apply_progress(service, now)
 
     def reported_fraction(self, order: RolloutOrder) -> float:
-        """How far some gateway has told to have come with an order; -1 where none has."""
-        told = self._progress.get(order.service)
-        return told.fraction if told is not None and told.version == order.version else -1.0
+        """The fraction of an order's duration last reported by any gateway; -1 if none has."""
+        reported = self._progress.get(order.service)
+        return (
+            reported.fraction
+            if reported is not None and reported.version == order.version
+            else -1.0
+        )
 
     def _apply_progress(self, service: str, now: float) -> None:
-        """Be no further back than what was told."""
-        found, told = self._by_service.get(service), self._progress.get(service)
-        if found is None or told is None or told.version != found.order.version:
+        """Advance the roll-out to the reported progress if it is behind."""
+        rollout, reported = self._by_service.get(service), self._progress.get(service)
+        if rollout is None or reported is None or reported.version != rollout.order.version:
             return
-        began_at = told.at - told.fraction * found.order.duration_s
-        found.started_at = min(found.started_at, began_at)
+        started_at = reported.at - reported.fraction * rollout.order.duration_s
+        rollout.started_at = min(rollout.started_at, started_at)
 
     def eligible_upstreams(
-        self, service: str, usable: list[Upstream], who: str, session: str, now: float
+        self, service: str, usable: list[Upstream], request_id: str, session: str, now: float
     ) -> EligibleUpstreams:
-        """The upstreams that may take a request of a session."""
-        found = self._by_service.get(service)
-        if found is None:
+        """The upstreams that may receive a request of a session."""
+        rollout = self._by_service.get(service)
+        if rollout is None:
             return EligibleUpstreams(usable, [])
-        version = found.order.version
-        new, old = found.split(usable)
-        found.trial_upstreams = max(1, len(new))
-        if found.withdrawal_reason or found.order.state == "rolled_back":
+        version = rollout.order.version
+        new, old = rollout.split(usable)
+        rollout.trial_upstreams = max(1, len(new))
+        if rollout.withdrawal_reason or rollout.order.state == "rolled_back":
             return EligibleUpstreams(old, [])
-        if found.order.state == "completed":
+        if rollout.order.state == "completed":
             return EligibleUpstreams(new, []) if new else EligibleUpstreams(old, [])
         pinned = self.pins.pinned_version(service, session, now) if session else ""
-        part = found.elapsed_fraction(now)
-        held = part < UNPIN_AT and session in found.old_version_sessions and pinned != version
-        if new and not held and uses_new_version(service, version, session or who, part, pinned):
+        fraction = rollout.elapsed_fraction(now)
+        keeps_old = (
+            fraction < UNPIN_AT and session in rollout.old_version_sessions and pinned != version
+        )
+        if (
+            new
+            and not keeps_old
+            and uses_new_version(service, version, session or request_id, fraction, pinned)
+        ):
             return EligibleUpstreams(new, old)
-        return EligibleUpstreams(old, new if part >= UNPIN_AT else [])
+        return EligibleUpstreams(old, new if fraction >= UNPIN_AT else [])
 
     def record_answer(self, service: str, upstream: Upstream, bad: bool, slow: bool) -> str:
-        """Take in an answer; gives why the version has to be withdrawn, if it newly has to."""
-        found = self._by_service.get(service)
-        if found is None or found.order.state != "ordered" or found.withdrawal_reason:
+        """Record an answer; returns the reason if it causes a withdrawal, else ""."""
+        rollout = self._by_service.get(service)
+        if rollout is None or rollout.order.state != "ordered" or rollout.withdrawal_reason:
             return ""
-        trial = upstream.version == found.order.version
-        (found.trial if trial else found.stable).add(upstream.key, bad, slow)
-        found.withdrawal_reason = withdrawal_reason(
-            found.stable, found.trial, found.trial_upstreams
+        trial = upstream.version == rollout.order.version
+        (rollout.trial if trial else rollout.stable).add(upstream.key, bad, slow)
+        rollout.withdrawal_reason = withdrawal_reason(
+            rollout.stable, rollout.trial, rollout.trial_upstreams
         )
-        return found.withdrawal_reason
+        return rollout.withdrawal_reason
--- a/ramppost/gateway/unreadable.py
+++ b/ramppost/gateway/unreadable.py
@@ -1,7 +1,8 @@
-"""Entries in the store that can't be read: each is logged once for each of its revisions.
+"""Logs store entries that can't be decoded, once for each revision of an entry.
 
-Whoever can write to the store may leave an entry with fields missing or of another type.  It
-names nothing; every list shows it again, and a fleet of hundreds would log it for ever.
+Anyone who can write to the store may leave an entry with missing fields or fields of a wrong type.
+Such an entry is ignored, but it appears in every listing, and a fleet of hundreds of gateways would
+log it forever.
 """
 
 from __future__ import annotations
@@ -16,25 +17,25 @@
 T = TypeVar("T")
 
 MAX_LOGGED_ENTRIES: Final = 1024
-"""Entries that are remembered as logged; further ones push the oldest out."""
+"""Maximum number of entries remembered as logged; the oldest are evicted."""
 
 
 class UnreadableEntries:
-    """Which revision of each entry was logged last."""
+    """The last logged revision of each invalid entry."""
 
     def __init__(self) -> None:
         self._logged: dict[tuple[str, str], int] = {}
 
-    def decode_spec(self, kind: str, obj: StoredObject, wanted: type[T]) -> T | None:
-        """An entry's spec as a type of ours; None, and noted, where it is not of that type."""
-        spec = decode(encode(obj.spec), wanted)
+    def decode_spec(self, kind: str, obj: StoredObject, spec_type: type[T]) -> T | None:
+        """Decode an entry's spec as the given type; if it is invalid, log it and return None."""
+        spec = decode(encode(obj.spec), spec_type)
         if isinstance(spec, BadMessage):
             self.log_once(kind, obj, spec.reason)
             return None
         return spec
 
     def log_once(self, kind: str, obj: StoredObject, reason: str) -> None:
-        """An entry can't be read."""
+        """Log an invalid entry unless this revision has been logged already."""
         key = (kind, obj.name)
         if self._logged.get(key) == obj.revision:
             return
@@ -43,5 +44,5 @@
         while len(self._logged) > MAX_LOGGED_ENTRIES:
             del self._logged[next(iter(self._logged))]
         logger.warning(
-            "entry not understood: {}", reason, kind=kind, name=obj.name, revision=obj.revision
+            "invalid store entry: {}", reason, kind=kind, name=obj.name, revision=obj.revision
         )
--- a/ramppost/gateway/warmup.py
+++ b/ramppost/gateway/warmup.py
@@ -18,7 +18,7 @@
 
 
 class WarmUps:
-    """Warm-up times of upstreams and recently sent requests; times on the steady clock."""
+    """Warm-up ends of upstreams and recently sent requests; times on the monotonic clock."""
 
     def __init__(self, peers: Peers) -> None:
         self._peers = peers
