--- a/ramppost/gateway/freshness.py
+++ b/ramppost/gateway/freshness.py
@@ -3,7 +3,7 @@
 An API key that an operator revokes must stop working at every gateway within a time bound, even at
 one that can't reach the store.  Therefore a gateway starts work for a key only while it has a
 confirmation, younger than that bound, that no newer configuration existed.  A confirmation is dated
-by when its call was sent, on the monotonic clock: the answer reflects everything that the store had
+by when its call was sent, on the steady clock: the answer reflects everything that the store had
 acknowledged before that.
 
 Operators who prefer serving with the last known keys to refusing requests while the store is
@@ -20,7 +20,7 @@
 
 
 class Freshness:
-    """The newest confirmation; times on the monotonic clock, in seconds."""
+    """The newest confirmation; times on the steady clock, in seconds."""
 
     def __init__(self, bound_s: float, serve_unconfirmed: bool = False) -> None:
         self.max_age_s = bound_s
--- a/ramppost/gateway/membership.py
+++ b/ramppost/gateway/membership.py
@@ -31,7 +31,7 @@
 
 
 class Member(NamedTuple):
-    """An upstream and its state; times on the monotonic clock.
+    """An upstream and its state; times on the steady clock.
 
     `drop_at` is when it is dropped unless its entry returns, None while it has an entry.  It is not
     used until `excluded_until` because it was found to have ended.
--- a/ramppost/gateway/rollouts.py
+++ b/ramppost/gateway/rollouts.py
@@ -1,6 +1,6 @@
 """Tracks roll-outs of services: progress, assignment of sessions to versions, and health.
 
-Every gateway measures the progress of a roll-out on its own monotonic clock, from when it saw the
+Every gateway measures the progress of a roll-out on its own steady clock, from when it saw the
 order.  Progress is also saved in the store, so that a gateway that starts in the middle of a
 roll-out continues from there instead of from the beginning.
 """
--- a/ramppost/gateway/warmup.py
+++ b/ramppost/gateway/warmup.py
@@ -18,7 +18,7 @@
 
 
 class WarmUps:
-    """Warm-up ends of upstreams and recently sent requests; times on the monotonic clock."""
+    """Warm-up ends of upstreams and recently sent requests; times on the steady clock."""
 
     def __init__(self, peers: Peers) -> None:
         self._peers = peers
