--- a/ramppost/entry/job.py
+++ b/ramppost/entry/job.py
@@ -1,4 +1,4 @@
-"""Reads a caller's request into an `Job`, or says what is wrong with it."""
+"""Parses a caller's HTTP request into a `Job`, or returns a refusal that states what is invalid."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 from ramppost.wire.codec import BadMessage, decode
 from ramppost.wire.server import Request, bearer
 
-AUTO: Final = "auto"
-KEY_HEADER: Final = "idempotency-key"
-MAX_KEY: Final = 255
+AUTO_MODEL: Final = "auto"
+IDEMPOTENCY_KEY_HEADER: Final = "idempotency-key"
+MAX_KEY_LENGTH: Final = 255
 MAX_DEADLINE_MS: Final = 3_600_000
 PREFIX_CHARS: Final = 256
 
 
 class StreamOptions(TypedDict, total=False):
-    """OpenAI's options of a stream."""
+    """The `stream_options` of the OpenAI API."""
 
     include_usage: bool
 
 
 class ChatBody(TypedDict):
-    """The part of a chat request that ramppost reads; the rest goes to the engine as it is."""
+    """The fields of a chat request that ramppost reads; the others are forwarded to the engine."""
 
     model: str
     messages: list[dict[str, Any]]
@@ -38,32 +38,32 @@
     stream_options: NotRequired[StreamOptions | None]
 
 
-class Trace:
-    """Whether any attempt of a request ran, as far as is known.
+class ExecutionRecord:
+    """Whether any attempt of a request ran, as far as this entry knows.
 
-    `claimed` is whether its key, if it has one, was looked up.
+    `key_looked_up` tells whether its idempotency key, if any, was looked up among the claims.
     """
 
     def __init__(self) -> None:
         self.ran: Ran = "no"
-        self.claimed = False
+        self.key_looked_up = False
 
-    def running(self) -> None:
-        """An attempt was admitted."""
+    def record_admitted(self) -> None:
+        """Record that an agent admitted an attempt."""
         self.ran = "yes"
 
-    def doubt(self) -> None:
-        """Nobody can say whether an attempt ran."""
+    def record_unknown(self) -> None:
+        """Record that it can't be determined whether an attempt ran."""
         if self.ran == "no":
             self.ran = "unknown"
 
 
 class Job(NamedTuple):
-    """A caller's request, checked."""
+    """A caller's request, parsed and validated."""
 
     request_id: str
-    ws: Workspace
-    cls: WorkClass
+    workspace: Workspace
+    work_class: WorkClass
     requested_version: ModelVersion
     service: str
     session: SessionPayload | None
@@ -74,33 +74,37 @@
     path: str
     body: str
     prefix: str
-    trace: Trace
+    execution: ExecutionRecord
 
     @property
-    def who(self) -> str:
-        """What shares of policies and roll-outs go by: the session, else the request."""
+    def split_key(self) -> str:
+        """Key of the traffic splits of policies and roll-outs: the session, else the request."""
         return self.session["session"] if self.session else self.request_id
 
     @property
     def repeatable(self) -> bool:
-        """Whether it may be run again after an unknown outcome."""
-        return self.cls["repeatable"] and not self.key
+        """Whether the request may be run again when it is unknown whether it ran."""
+        return self.work_class["repeatable"] and not self.key
 
     @property
     def body_digest(self) -> str:
-        """Digest of what is to be run."""
+        """Digest of path and body, to detect a key that is reused for another request."""
         text = f"{self.path}\0{self.body}".encode()
         return hashlib.blake2b(text, digest_size=8).hexdigest()
 
 
-def workspace_for(req: Request, doc: ConfigDoc) -> Workspace | Refusal:
-    """The workspace of a request's token."""
-    ws = workspace_by_token(doc, bearer(req))
-    return ws if ws is not None else refusal("unauthorized", "bearer token missing or unknown")
+def authenticate_workspace(req: Request, doc: ConfigDoc) -> Workspace | Refusal:
+    """The workspace that the request's bearer token belongs to."""
+    workspace = workspace_by_token(doc, bearer(req))
+    return (
+        workspace
+        if workspace is not None
+        else refusal("unauthorized", "bearer token missing or unknown")
+    )
 
 
-def read_chat(req: Request, doc: ConfigDoc, ws: Workspace) -> Job | Refusal:
-    """A chat request."""
+def parse_chat_request(req: Request, doc: ConfigDoc, workspace: Workspace) -> Job | Refusal:
+    """Parse a chat completion request."""
     if not req.headers.get("content-type", "").startswith("application/json"):
         return refusal("bad_request", "content-type must be application/json")
     body = decode(req.body, ChatBody)
@@ -113,10 +117,10 @@
         return refusal("bad_request", "body: must be 1 or more - at `$.max_tokens`")
     options = body.get("stream_options") or StreamOptions()
     prefix = msgspec.json.encode(body["messages"]).decode()[:PREFIX_CHARS]
-    base = _base(req, doc, ws, req.body.decode())
-    if isinstance(base, Refusal):
-        return base
-    return base._replace(
+    common = _parse_common(req, doc, workspace, req.body.decode())
+    if isinstance(common, Refusal):
+        return common
+    return common._replace(
         requested_version=parse_model(body["model"]),
         stream=bool(body.get("stream")),
         include_usage=options.get("include_usage", False),
@@ -124,39 +128,39 @@
     )
 
 
-def read_service(req: Request, doc: ConfigDoc, ws: Workspace) -> Job | Refusal:
-    """A call of a plain service, `/services/<name>/...`."""
+def parse_service_request(req: Request, doc: ConfigDoc, workspace: Workspace) -> Job | Refusal:
+    """Parse a call of a plain service, `/services/<name>/...`."""
     name, _, rest = req.path.removeprefix("/services/").partition("/")
-    if name not in ws["services"]:
-        return refusal("forbidden", f"workspace {ws['name']} may not call service {name!r}")
+    if name not in workspace["services"]:
+        return refusal("forbidden", f"workspace {workspace['name']} may not call service {name!r}")
     try:
         body = req.body.decode()
     except UnicodeDecodeError:
         return refusal("bad_request", "body must be text in UTF-8")
-    base = _base(req, doc, ws, body)
-    if isinstance(base, Refusal):
-        return base
-    return base._replace(service=name, path=f"{req.method} /{rest}")
-
-
-def _base(req: Request, doc: ConfigDoc, ws: Workspace, body: str) -> Job | Refusal:
-    """What both kinds of request have in common."""
-    cls = _class(req, doc)
-    if isinstance(cls, Refusal):
-        return cls
-    key = req.headers.get(KEY_HEADER, "")
-    if len(key) > MAX_KEY or not key.isascii():
-        return refusal("bad_request", f"Idempotency-Key: at most {MAX_KEY} ASCII characters")
-    deadline_ms = _deadline(req, cls)
+    common = _parse_common(req, doc, workspace, body)
+    if isinstance(common, Refusal):
+        return common
+    return common._replace(service=name, path=f"{req.method} /{rest}")
+
+
+def _parse_common(req: Request, doc: ConfigDoc, workspace: Workspace, body: str) -> Job | Refusal:
+    """Parse what chat requests and service calls have in common."""
+    work_class = _parse_class(req, doc)
+    if isinstance(work_class, Refusal):
+        return work_class
+    key = req.headers.get(IDEMPOTENCY_KEY_HEADER, "")
+    if len(key) > MAX_KEY_LENGTH or not key.isascii():
+        return refusal("bad_request", f"Idempotency-Key: at most {MAX_KEY_LENGTH} ASCII characters")
+    deadline_ms = _parse_deadline(req, work_class)
     if isinstance(deadline_ms, Refusal):
         return deadline_ms
-    session = _session(req, doc, ws)
+    session = _parse_session(req, doc, workspace)
     if isinstance(session, Refusal):
         return session
     return Job(
         request_id=ids.request_id(doc["revision"]),
-        ws=ws,
-        cls=cls,
+        workspace=workspace,
+        work_class=work_class,
         requested_version=ModelVersion("", ""),
         service="",
         session=session,
@@ -167,35 +171,38 @@
         path="",
         body=body,
         prefix="",
-        trace=Trace(),
+        execution=ExecutionRecord(),
     )
 
 
-def _class(req: Request, doc: ConfigDoc) -> WorkClass | Refusal:
+def _parse_class(req: Request, doc: ConfigDoc) -> WorkClass | Refusal:
+    """The class that the request names, by default the first one of the configuration."""
     name = req.headers.get("ramppost-class", "")
     if not name:
         return doc["classes"][0]
-    cls = class_named(doc, name)
-    if cls is None:
+    work_class = class_named(doc, name)
+    if work_class is None:
         known = ", ".join(c["name"] for c in doc["classes"])
         return refusal("bad_request", f"Ramppost-Class: unknown class {name!r}; known: {known}")
-    return cls
+    return work_class
 
 
-def _deadline(req: Request, cls: WorkClass) -> int | Refusal:
+def _parse_deadline(req: Request, work_class: WorkClass) -> int | Refusal:
     text = req.headers.get("ramppost-deadline-ms", "")
     if not text:
-        return cls["deadline_ms"]
+        return work_class["deadline_ms"]
     if not (text.isascii() and text.isdigit()) or not 1 <= int(text) <= MAX_DEADLINE_MS:
         return refusal("bad_request", f"Ramppost-Deadline-Ms: 1 to {MAX_DEADLINE_MS} wanted")
     return int(text)
 
 
-def _session(req: Request, doc: ConfigDoc, ws: Workspace) -> SessionPayload | Refusal | None:
+def _parse_session(
+    req: Request, doc: ConfigDoc, workspace: Workspace
+) -> SessionPayload | Refusal | None:
     token = req.headers.get("ramppost-session", "")
     if not token or token == "new":
         return None
-    got = verify_session_token(doc["session_keys"], token, ws["name"])
-    if isinstance(got, BadToken):
-        return refusal("bad_session", f"Ramppost-Session: {got.reason}")
-    return got
+    verified = verify_session_token(doc["session_keys"], token, workspace["name"])
+    if isinstance(verified, BadToken):
+        return refusal("bad_session", f"Ramppost-Session: {verified.reason}")
+    return verified
--- a/ramppost/entry/sink.py
+++ b/ramppost/entry/sink.py
@@ -1,4 +1,4 @@
-"""Where an answer goes: whole JSON, an event stream, or a plain service's answer."""
+"""Sinks that write an answer to the caller: as JSON, as an event stream, or as service response."""
 
 from __future__ import annotations
 
@@ -13,113 +13,123 @@
 
 SSE: Final = "text/event-stream"
 STREAM_HEADER: Final = "ramppost-stream"
-FINISHES: Final = {"done": "stop", "cancelled": "stop"}
+FINISH_REASONS: Final = {"done": "stop", "cancelled": "stop"}
 
 
 class Sink(Protocol):
-    """Takes an answer piece by piece."""
+    """Receives an answer chunk by chunk."""
 
     started: bool
 
-    async def begin(self, request_id: str, mv: ModelVersion, session: str, place: str) -> None:
-        """The answer begins."""
+    async def begin(
+        self, request_id: str, mv: ModelVersion, session_token: str, stream_token: str
+    ) -> None:
+        """Start the answer."""
 
-    async def piece(self, n: int, text: str) -> None:
-        """A piece of it."""
+    async def send_chunk(self, n: int, text: str) -> None:
+        """Add a chunk of the answer; `n` is its number."""
 
     async def end(self, end: End) -> None:
-        """It is whole."""
+        """Complete the answer."""
 
     async def fail(self, ref: Refusal) -> None:
-        """It breaks off."""
+        """Report that the answer can't be completed."""
 
 
-def _headers(request_id: str, mv: ModelVersion, session: str) -> tuple[tuple[str, str], ...]:
-    head: tuple[tuple[str, str], ...] = (("x-request-id", request_id),)
+def _headers(request_id: str, mv: ModelVersion, session_token: str) -> tuple[tuple[str, str], ...]:
+    headers: tuple[tuple[str, str], ...] = (("x-request-id", request_id),)
     if mv.model:
-        head += (("ramppost-model", mv.text), ("ramppost-session", session))
-    return head
+        headers += (("ramppost-model", mv.text), ("ramppost-session", session_token))
+    return headers
 
 
-class WholeSink:
-    """Collects an answer and sends it whole, as chat completion or as a service's answer."""
+class BufferingSink:
+    """Buffers an answer and sends it as one chat completion or as response of a plain service."""
 
     def __init__(self, reply: Reply, service: bool) -> None:
         self._reply = reply
         self._service = service
-        self._pieces: list[str] = []
-        self._head: tuple[tuple[str, str], ...] = ()
-        self._id = ""
+        self._chunks: list[str] = []
+        self._response_headers: tuple[tuple[str, str], ...] = ()
+        self._request_id = ""
         self._model = ""
         self.started = False
 
-    async def begin(self, request_id: str, mv: ModelVersion, session: str, place: str) -> None:
-        """Remember what the head will say; pieces of a former try are dropped."""
-        self._pieces = []
-        self._id, self._model = request_id, mv.text
-        self._head = _headers(request_id, mv, session)
+    async def begin(
+        self, request_id: str, mv: ModelVersion, session_token: str, stream_token: str
+    ) -> None:
+        """Store the response headers; chunks of an earlier attempt are discarded."""
+        self._chunks = []
+        self._request_id, self._model = request_id, mv.text
+        self._response_headers = _headers(request_id, mv, session_token)
 
-    async def piece(self, n: int, text: str) -> None:
-        """Remember a piece."""
-        self._pieces.append(text)
+    async def send_chunk(self, n: int, text: str) -> None:
+        """Buffer a chunk."""
+        self._chunks.append(text)
 
     async def end(self, end: End) -> None:
-        """Send all."""
+        """Send the response."""
         self.started = True
-        text = "".join(self._pieces)
+        text = "".join(self._chunks)
         if self._service:
-            await self._reply.send(end["status"], text.encode(), end["content_type"], self._head)
+            await self._reply.send(
+                end["status"], text.encode(), end["content_type"], self._response_headers
+            )
             return
         message = {"role": "assistant", "content": text}
         body = {
-            "id": self._id,
+            "id": self._request_id,
             "object": "chat.completion",
             "created": int(time.time()),
             "model": self._model,
-            "choices": [{"index": 0, "message": message, "finish_reason": FINISHES[end["state"]]}],
+            "choices": [
+                {"index": 0, "message": message, "finish_reason": FINISH_REASONS[end["state"]]}
+            ],
             "usage": usage(end),
         }
-        await self._reply.send(200, encode(body), headers=self._head)
+        await self._reply.send(200, encode(body), headers=self._response_headers)
 
     async def fail(self, ref: Refusal) -> None:
-        """Send the refusal in place of the answer."""
+        """Send the refusal instead of the answer."""
         await send_refusal(self._reply, ref)
 
 
 class StreamSink:
-    """Passes an answer on as server-sent events, numbered so that it can be read on."""
+    """Forwards an answer as server-sent events, whose ids let the caller resume the stream."""
 
     def __init__(self, reply: Reply, include_usage: bool) -> None:
         self._reply = reply
         self._include_usage = include_usage
-        self._base: dict[str, Any] = {}
-        self._n = 0
+        self._common_fields: dict[str, Any] = {}
+        self._next_event_id = 0
         self.started = False
 
-    async def begin(self, request_id: str, mv: ModelVersion, session: str, place: str) -> None:
-        """Send the head."""
+    async def begin(
+        self, request_id: str, mv: ModelVersion, session_token: str, stream_token: str
+    ) -> None:
+        """Send the response headers."""
         self.started = True
-        self._base = {
+        self._common_fields = {
             "id": request_id,
             "object": "chat.completion.chunk",
             "created": int(time.time()),
             "model": mv.text,
         }
-        head = (*_headers(request_id, mv, session), (STREAM_HEADER, place))
-        await self._reply.start(200, SSE, head)
+        headers = (*_headers(request_id, mv, session_token), (STREAM_HEADER, stream_token))
+        await self._reply.start(200, SSE, headers)
 
-    async def piece(self, n: int, text: str) -> None:
-        """Send an event."""
-        self._n = n + 1
+    async def send_chunk(self, n: int, text: str) -> None:
+        """Send a chunk as an event."""
+        self._next_event_id = n + 1
         delta = {"role": "assistant", "content": text} if n == 0 else {"content": text}
-        await self._event(n, [{"index": 0, "delta": delta, "finish_reason": None}])
+        await self._send_event(n, [{"index": 0, "delta": delta, "finish_reason": None}])
 
     async def end(self, end: End) -> None:
-        """Send the last events."""
-        choice = {"index": 0, "delta": {}, "finish_reason": FINISHES[end["state"]]}
-        await self._event(self._n, [choice])
+        """Send the finish reason, the usage if requested, and `[DONE]`."""
+        choice = {"index": 0, "delta": {}, "finish_reason": FINISH_REASONS[end["state"]]}
+        await self._send_event(self._next_event_id, [choice])
         if self._include_usage:
-            last = self._base | {"choices": [], "usage": usage(end)}
+            last = self._common_fields | {"choices": [], "usage": usage(end)}
             await self._reply.write(b"data: " + encode(last) + b"\n\n")
         await self._reply.write(b"data: [DONE]\n\n")
         await self._reply.end()
@@ -129,13 +139,15 @@
         await self._reply.write(b"data: " + error_body(ref) + b"\n\n")
         await self._reply.end()
 
-    async def _event(self, n: int, choices: list[Any]) -> None:
+    async def _send_event(self, n: int, choices: list[Any]) -> None:
         event = b"id: %d\ndata: " % n
-        await self._reply.write(event + encode(self._base | {"choices": choices}) + b"\n\n")
+        await self._reply.write(
+            event + encode(self._common_fields | {"choices": choices}) + b"\n\n"
+        )
 
 
 def usage(end: End) -> dict[str, int]:
-    """Usage in the OpenAI form."""
+    """Token usage in the format of the OpenAI API."""
     tokens_in, tokens_out = end["tokens_in"], end["tokens_out"]
     return {
         "prompt_tokens": tokens_in,
@@ -145,8 +157,8 @@
 
 
 async def send_refusal(reply: Reply, ref: Refusal, request_id: str = "") -> None:
-    """Send a refusal at once, with when to come back."""
-    head = retry_headers(ref)
+    """Send a refusal as a response of its own, with `Retry-After` if it has a retry time."""
+    headers = retry_headers(ref)
     if request_id:
-        head += (("x-request-id", request_id),)
-    await reply.send(ref.status, error_body(ref), headers=head)
+        headers += (("x-request-id", request_id),)
+    await reply.send(ref.status, error_body(ref), headers=headers)
