--- a/ramppost/entry/dispatch.py
+++ b/ramppost/entry/dispatch.py
@@ -80,7 +80,7 @@
 def make_run_msg(
     entry: Entry, job: Job, mv: ModelVersion, agent: str, attempt: str, remaining_s: float
 ) -> RunMsg:
-    """Build the message that asks an agent to run an attempt."""
+    """The message that asks an agent to run an attempt."""
     return RunMsg(
         entry=entry.name,
         agent=agent,
@@ -171,7 +171,10 @@
     mv: ModelVersion,
     tombstone: bool,
 ) -> Outcome:
-    """Ask an agent once to continue an attempt's answer from a frame."""
+    """Ask an agent once to continue an attempt's answer from a frame.
+
+    If `tombstone` is set and the agent never admitted the attempt, it sets a tombstone for it.
+    """
     msg = AttachMsg(
         entry=entry.name,
         agent=agent,
@@ -232,12 +235,12 @@
     try:
         line = await curio.timeout_after(FRAME_TIMEOUT_S, run.stream.read_line())
     except (OSError, curio.TaskTimeout) as exc:
-        return ReadFailure(str(exc) or "no piece in time")
+        return ReadFailure(str(exc) or "no frame within the time limit")
     frame = decode(line, Frame)
     if isinstance(frame, BadMessage):
         return ReadFailure(frame.reason)
     if frame["attempt"] != run.attempt or frame["n"] != run.expected_n:
-        return ReadFailure("piece of another answer or out of turn")
+        return ReadFailure("frame of another attempt or out of sequence")
     if "end" not in frame:
         run.expected_n += 1
     return frame
--- a/ramppost/entry/obtain.py
+++ b/ramppost/entry/obtain.py
@@ -29,11 +29,11 @@
 
 
 async def obtain_run(
-    entry: Entry, job: Job, mv: ModelVersion, stage: int, first_number: int, deadline: float
+    entry: Entry, job: Job, mv: ModelVersion, stage: int, first_attempt_number: int, deadline: float
 ) -> RunResult:
     """Obtain a run of a request with a version.
 
-    `stage` is the index in the cascade; `first_number` is the first unused attempt number.
+    `stage` is the index in the cascade; `first_attempt_number` is the first unused attempt number.
     """
     entry.retry_budget.record_try()
     if job.key:
@@ -46,7 +46,7 @@
         remaining_s = deadline - clock.now()
         if remaining_s <= 0:
             return refusal("deadline", "deadline passed before it was begun", MIN_RETRY_AFTER_S)
-        attempt = attempt_id(job.request_id, stage, first_number + number)
+        attempt = attempt_id(job.request_id, stage, first_attempt_number + number)
         outcome = await send_run(
             entry,
             upstream,
--- a/ramppost/entry/run_result.py
+++ b/ramppost/entry/run_result.py
@@ -34,7 +34,7 @@
 
 
 def refusal_for_outcome(outcome: Outcome, mv: ModelVersion) -> Refusal:
-    """The refusal for a request that no agent runs."""
+    """The refusal for a request whose last attempt did not lead to a running answer."""
     if isinstance(outcome, Unknown):
         return refusal("outcome_unknown", f"can't tell whether it ran: {outcome.reason}")
     assert isinstance(outcome, NotRun)
--- a/ramppost/entry/serve.py
+++ b/ramppost/entry/serve.py
@@ -123,7 +123,7 @@
     sink: Sink,
     deadline: float,
     started: float,
-    first_number: int,
+    first_attempt_number: int,
 ) -> Refusal | Reroute | None:
     """Run the selected versions in order until one gives an acceptable answer.
 
@@ -135,7 +135,7 @@
         last = stage == len(chosen.picks) - 1
         if pick.trial and entry.conf.doc is not None:
             entry.count_trial_request(entry.conf.doc, pick.mv)
-        run = await obtain_run(entry, job, pick.mv, stage, first_number, deadline)
+        run = await obtain_run(entry, job, pick.mv, stage, first_attempt_number, deadline)
         if isinstance(run, Reroute):
             return run
         if isinstance(run, Refusal):
@@ -143,7 +143,7 @@
                 return run
             await _send_buffered(entry, job, fallback, sink, started)
             return None
-        if not stage and not first_number:
+        if not stage and not first_attempt_number:
             _count_start(entry, job, chosen, pick, run)
         if last:
             return await forward_answer(entry, job, run, sink, started)
