--- a/ramppost/audit/checks.py
+++ b/ramppost/audit/checks.py
@@ -1,8 +1,8 @@
-"""Promises, each checked by its own over events of gateways.
+"""Checks the guarantees of gateways against the events in their logs, each independently.
 
-Events of one process come in the order in which it wrote them; those of several may come in any
-order.  A check tells what was broken, and what can't be decided from these lines and why.  It
-remembers requests while they are open.
+The events of one process come in the order in which it logged them; those of different processes
+may be interleaved in any order.  A check reports violations, and cases that the lines can't decide,
+with the reason.  It keeps the details of a request only until the request ends.
 """
 
 from __future__ import annotations
@@ -10,148 +10,154 @@
 from typing import Final, NamedTuple
 
 from ramppost.audit.confirmed import confirmed_check
-from ramppost.audit.departed import GONE_SLACK_S, gone_check
+from ramppost.audit.departed import TIMING_TOLERANCE_S, departed_check
 from ramppost.audit.evacuated import evacuation_check
 from ramppost.audit.events import (
-    Attempted,
+    AttemptEnded,
     ConfigInForce,
-    Ended,
     Event,
-    FatalKnown,
-    Started,
+    FatalRequestUpdate,
+    ProcessStarted,
+    RequestEnded,
 )
 from ramppost.audit.findings import Check, Finding, Findings
 
-ENDED_KEPT: Final = 200_000
-"""Requests that are remembered as ended: some minutes of hundreds of gateways."""
+MAX_ENDED_REQUESTS: Final = 200_000
+"""Ended requests that are remembered, to detect a second end: some minutes of hundreds of
+gateways."""
 
 
 def config_check() -> Check:
-    """A process never goes back to an older configuration."""
+    """Returns the check that a process never goes back to an older configuration."""
     name = "configuration"
-    held: dict[str, ConfigInForce] = {}
+    in_force: dict[str, ConfigInForce] = {}
 
-    def take(event: Event) -> Findings:
-        if isinstance(event, Started):
-            held.pop(event.program, None)
+    def handle_event(event: Event) -> Findings:
+        if isinstance(event, ProcessStarted):
+            in_force.pop(event.program, None)
         if not isinstance(event, ConfigInForce):
             return
-        last = held.get(event.program)
-        held[event.program] = event
-        # The line of a start may be lost; the first configuration after it has none before.
-        if last is None or event.before is None:
+        last = in_force.get(event.program)
+        in_force[event.program] = event
+        # The log line of a start may be lost; the first configuration after a start replaces none.
+        if last is None or event.previous_version is None:
             return
-        where = (event.program, event.at, "")
+        origin = (event.program, event.at, "")
         if event.revision <= last.revision:
             what = f"revision {event.revision} in force after {last.revision}"
-            yield Finding(name, "broken", *where, what)
-        elif event.before != last.version:
-            what = f"version {event.before} was in force in between: lines are missing"
-            yield Finding(name, "undecided", *where, what)
+            yield Finding(name, "broken", *origin, what)
+        elif event.previous_version != last.version:
+            what = f"version {event.previous_version} was in force in between: lines are missing"
+            yield Finding(name, "undecided", *origin, what)
 
     promise = "a process never puts an older configuration in force"
-    return Check(name, promise, take, lambda: ())
+    return Check(name, promise, handle_event, lambda: ())
 
 
-class _Open(NamedTuple):
-    """A request that has no end yet, and what became of its attempts."""
+class _OpenRequest(NamedTuple):
+    """A request that has not ended, with the outcomes of its attempts."""
 
-    last: Attempted
-    fates: tuple[str, ...]
+    last_attempt: AttemptEnded
+    outcomes: tuple[str, ...]
 
 
 def end_check() -> Check:
-    """A request has one end, and none that says "not run" after an attempt that may have run."""
+    """Returns the check that a request ends once, and as "not run" only if none may have run."""
     name = "one end"
-    open_requests: dict[tuple[str, str], _Open] = {}
+    open_requests: dict[tuple[str, str], _OpenRequest] = {}
     ended: dict[str, str] = {}
 
-    def take(event: Event) -> Findings:
-        if isinstance(event, Started):
-            yield from lost(event.program)
-        elif isinstance(event, Attempted):
+    def handle_event(event: Event) -> Findings:
+        if isinstance(event, ProcessStarted):
+            yield from close_unended(event.program)
+        elif isinstance(event, AttemptEnded):
             key = (event.program, event.request)
-            before = open_requests[key].fates if key in open_requests else ()
-            open_requests[key] = _Open(event, (*before, event.fate))
-        elif isinstance(event, Ended):
-            yield from end_of(event)
-
-    def end_of(event: Ended) -> Findings:
-        found = open_requests.pop((event.program, event.request), None)
-        fates = found.fates if found is not None else ()
-        where = (event.program, event.at, event.request)
+            previous = open_requests[key].outcomes if key in open_requests else ()
+            open_requests[key] = _OpenRequest(event, (*previous, event.outcome))
+        elif isinstance(event, RequestEnded):
+            yield from check_end(event)
+
+    def check_end(event: RequestEnded) -> Findings:
+        request = open_requests.pop((event.program, event.request), None)
+        outcomes = request.outcomes if request is not None else ()
+        origin = (event.program, event.at, event.request)
         if event.request in ended:
-            yield Finding(name, "broken", *where, f"an end at {ended[event.request]} before")
+            yield Finding(name, "broken", *origin, f"already ended at {ended[event.request]}")
             return
         ended[event.request] = event.program
-        if len(ended) > ENDED_KEPT:
+        if len(ended) > MAX_ENDED_REQUESTS:
             del ended[next(iter(ended))]
-        if event.attempts is not None and event.attempts > len(fates):
-            what = f"{len(fates)} of {event.attempts} attempts are in the logs"
-            yield Finding(name, "undecided", *where, what)
+        if event.attempts is not None and event.attempts > len(outcomes):
+            what = f"{len(outcomes)} of {event.attempts} attempts are in the logs"
+            yield Finding(name, "undecided", *origin, what)
         if event.ran != "no":
             return
-        if "answered" in fates or "unknown" in fates:
-            yield Finding(name, "broken", *where, f"told not run; attempts: {', '.join(fates)}")
-        elif "cancelled" in fates:
-            what = "told not run; an attempt was given up, before or after it was sent"
-            yield Finding(name, "undecided", *where, what)
-
-    def lost(program: str) -> Findings:
+        if "answered" in outcomes or "unknown" in outcomes:
+            yield Finding(
+                name, "broken", *origin, f"reported as not run; attempts: {', '.join(outcomes)}"
+            )
+        elif "cancelled" in outcomes:
+            what = "reported as not run; an attempt was cancelled, before or after it was sent"
+            yield Finding(name, "undecided", *origin, what)
+
+    def close_unended(program: str) -> Findings:
         for key in [key for key in open_requests if key[0] == program]:
-            last = open_requests.pop(key).last
+            attempt = open_requests.pop(key).last_attempt
             what = "no end in the logs: its process ended, or lines are missing"
-            yield Finding(name, "undecided", program, last.at, last.request, what)
+            yield Finding(name, "undecided", program, attempt.at, attempt.request, what)
 
-    def end() -> Findings:
+    def finish() -> Findings:
         for program in sorted({program for program, _ in open_requests}):
-            yield from lost(program)
+            yield from close_unended(program)
 
-    promise = 'a request has one end, which says "not run" only where nothing may have run'
-    return Check(name, promise, take, end)
+    promise = 'a request ends once, and as "not run" only if no attempt may have run'
+    return Check(name, promise, handle_event, finish)
 
 
 def fatal_check() -> Check:
-    """No attempt is made of a request that its gateway knows to end upstreams."""
+    """Returns the check that no request is attempted that its gateway knows to crash upstreams."""
     name = "fatal"
-    known: dict[str, dict[str, float]] = {}
-
-    def take(event: Event) -> Findings:
-        if isinstance(event, Started):
-            known.pop(event.program, None)
-        elif isinstance(event, FatalKnown):
-            learn(event)
-        elif isinstance(event, Attempted):
-            yield from attempt(event)
-
-    def learn(event: FatalKnown) -> None:
-        held = known.setdefault(event.program, {})
+    fatal_since: dict[str, dict[str, float]] = {}
+
+    def handle_event(event: Event) -> Findings:
+        if isinstance(event, ProcessStarted):
+            fatal_since.pop(event.program, None)
+        elif isinstance(event, FatalRequestUpdate):
+            update(event)
+        elif isinstance(event, AttemptEnded):
+            yield from check_attempt(event)
+
+    def update(event: FatalRequestUpdate) -> None:
+        since_by_fingerprint = fatal_since.setdefault(event.program, {})
         if event.fatal:
-            held.setdefault(event.fingerprint, event.at)
+            since_by_fingerprint.setdefault(event.fingerprint, event.at)
         elif event.fingerprint:
-            held.pop(event.fingerprint, None)
+            since_by_fingerprint.pop(event.fingerprint, None)
         else:
-            held.clear()
+            since_by_fingerprint.clear()
 
-    def attempt(event: Attempted) -> Findings:
-        since = known.get(event.program, {}).get(event.fingerprint)
-        if since is None or event.began_at <= since + GONE_SLACK_S:
+    def check_attempt(event: AttemptEnded) -> Findings:
+        since = fatal_since.get(event.program, {}).get(event.fingerprint)
+        if since is None or event.started_at <= since + TIMING_TOLERANCE_S:
             return
-        since_s = event.began_at - since
-        what = f"sent to {event.upstream} {since_s:.2f} s after it was known to be fatal"
+        delay_s = event.started_at - since
+        what = f"sent to {event.upstream} {delay_s:.2f} s after it was known to be fatal"
         yield Finding(name, "broken", event.program, event.at, event.request, what)
 
-    promise = "no attempt is made of a request that is known to end upstreams"
-    return Check(name, promise, take, lambda: ())
+    promise = "no attempt is made of a request that is known to crash upstreams"
+    return Check(name, promise, handle_event, lambda: ())
 
 
 def all_checks(max_clock_skew_s: float) -> list[Check]:
-    """Each check, new; `max_clock_skew_s` is how far the clocks of boxes may be apart."""
+    """Returns a new instance of each check.
+
+    `max_clock_skew_s` is the largest difference assumed between the clocks of two boxes.
+    """
     return [
         config_check(),
         confirmed_check(max_clock_skew_s),
         end_check(),
-        gone_check(),
+        departed_check(),
         evacuation_check(),
         fatal_check(),
     ]
--- a/ramppost/audit/confirmed.py
+++ b/ramppost/audit/confirmed.py
@@ -1,99 +1,102 @@
-"""Checks that no gateway takes a configuration for the newest while a newer one is in force.
+"""Checks that no gateway considers a configuration the newest while a newer one is in force.
 
-A gateway dates its confirmation by when it was asked for.  What another had in force before that
-had been written before, so a confirmation must have shown it.
+A confirmation is dated by the time at which the gateway requested it.  Any configuration that
+another gateway had in force before that time had already been written, so the confirmation must
+have returned it.
 """
 
 from __future__ import annotations
 
 from typing import Final, NamedTuple
 
-from ramppost.audit.events import ConfigInForce, Ended, Event, Started
+from ramppost.audit.events import ConfigInForce, Event, ProcessStarted, RequestEnded
 from ramppost.audit.findings import Check, Finding, Findings
 
 DEFAULT_MAX_CLOCK_SKEW_S: Final = 5.0
-"""How far the clocks of boxes may be apart, unless operators know better."""
-ROUNDED_S: Final = 0.01
-"""An age is told in whole milliseconds, and a line is written a moment after what it tells."""
+"""Default for the largest difference between the clocks of two boxes."""
+LOG_PRECISION_S: Final = 0.01
+"""Ages are logged in whole milliseconds, and a line is written a moment after its event."""
 
 
-class _Claim(NamedTuple):
-    """A request was served by a configuration that was known to be the newest as of a time."""
+class _Confirmation(NamedTuple):
+    """The end of a request served by a configuration known to be the newest as of a time."""
 
     confirmed_at: float
-    by: ConfigInForce
-    ended: Ended
+    confirmed_config: ConfigInForce
+    request: RequestEnded
 
 
-class _First(NamedTuple):
-    """A configuration, and who had it in force first, by the clocks."""
+class _FirstUse(NamedTuple):
+    """The first time a configuration was in force at any process, by their clocks."""
 
     at: float
     config: ConfigInForce
 
 
 def confirmed_check(max_clock_skew_s: float = DEFAULT_MAX_CLOCK_SKEW_S) -> Check:
-    """No process knows a configuration to be the newest when a newer one has been in force
-    elsewhere; `max_clock_skew_s` is how far clocks may be apart.
+    """Returns the check that no process considers a configuration the newest after a newer one was
+    in force elsewhere; `max_clock_skew_s` is the largest assumed difference between clocks.
 
-    Of a process and a configuration the latest confirmation is remembered: if that is sound, so are
-    those before.
+    Only the latest confirmation of each process and configuration is kept: if it is correct, so
+    are all earlier ones.
     """
     name = "confirmed"
     in_force: dict[str, ConfigInForce] = {}
-    first: dict[int, _First] = {}
-    claims: dict[tuple[str, int], _Claim] = {}
+    first_uses: dict[int, _FirstUse] = {}
+    confirmations: dict[tuple[str, int], _Confirmation] = {}
 
-    def take(event: Event) -> Findings:
-        if isinstance(event, Started):
+    def handle_event(event: Event) -> Findings:
+        if isinstance(event, ProcessStarted):
             in_force.pop(event.program, None)
         elif isinstance(event, ConfigInForce):
             in_force[event.program] = event
-            if event.revision not in first or event.at < first[event.revision].at:
-                first[event.revision] = _First(event.at, event)
-        elif isinstance(event, Ended):
-            claim(event)
+            if event.revision not in first_uses or event.at < first_uses[event.revision].at:
+                first_uses[event.revision] = _FirstUse(event.at, event)
+        elif isinstance(event, RequestEnded):
+            record_confirmation(event)
         return ()
 
-    def claim(event: Ended) -> None:
-        by = in_force.get(event.program)
-        if by is None or event.confirmed_at is None:
+    def record_confirmation(event: RequestEnded) -> None:
+        config = in_force.get(event.program)
+        if config is None or event.confirmed_at is None:
             return
-        key = (event.program, by.revision)
-        if key not in claims or event.confirmed_at > claims[key].confirmed_at:
-            claims[key] = _Claim(event.confirmed_at, by, event)
-
-    def end() -> Findings:
-        newer = _earliest_newer(first)
-        for latest in claims.values():
-            found = newer.get(latest.by.revision)
-            if found is not None and latest.confirmed_at > found.at + ROUNDED_S:
-                yield _finding(name, latest, found, max_clock_skew_s)
-
-    promise = "no process knows a configuration to be the newest after a newer one was in force"
-    return Check(name, promise, take, end)
-
-
-def _earliest_newer(first: dict[int, _First]) -> dict[int, _First]:
-    """For each revision the newer one that was in force first."""
-    found: dict[int, _First] = {}
-    earliest: _First | None = None
-    for revision in sorted(first, reverse=True):
+        key = (event.program, config.revision)
+        if key not in confirmations or event.confirmed_at > confirmations[key].confirmed_at:
+            confirmations[key] = _Confirmation(event.confirmed_at, config, event)
+
+    def finish() -> Findings:
+        newer_uses = _earliest_newer_uses(first_uses)
+        for latest in confirmations.values():
+            newer = newer_uses.get(latest.confirmed_config.revision)
+            if newer is not None and latest.confirmed_at > newer.at + LOG_PRECISION_S:
+                yield _finding(name, latest, newer, max_clock_skew_s)
+
+    promise = "no process considers a configuration the newest after a newer one was in force"
+    return Check(name, promise, handle_event, finish)
+
+
+def _earliest_newer_uses(first_uses: dict[int, _FirstUse]) -> dict[int, _FirstUse]:
+    """Maps each revision to the earliest use of any newer one."""
+    newer_uses: dict[int, _FirstUse] = {}
+    earliest: _FirstUse | None = None
+    for revision in sorted(first_uses, reverse=True):
         if earliest is not None:
-            found[revision] = earliest
-        if earliest is None or first[revision].at < earliest.at:
-            earliest = first[revision]
-    return found
+            newer_uses[revision] = earliest
+        if earliest is None or first_uses[revision].at < earliest.at:
+            earliest = first_uses[revision]
+    return newer_uses
 
 
-def _finding(name: str, claim: _Claim, newer: _First, max_clock_skew_s: float) -> Finding:
-    since_s = claim.confirmed_at - newer.at
+def _finding(
+    name: str, confirmation: _Confirmation, newer: _FirstUse, max_clock_skew_s: float
+) -> Finding:
+    delay_s = confirmation.confirmed_at - newer.at
     what = (
-        f"version {claim.by.version} was confirmed {since_s:.2f} s after version "
-        f"{newer.config.version} was in force at {newer.config.program}"
+        f"version {confirmation.confirmed_config.version} was confirmed {delay_s:.2f} s after "
+        f"version {newer.config.version} was in force at {newer.config.program}"
     )
-    where = (claim.ended.program, claim.ended.at, claim.ended.request)
-    if since_s > max_clock_skew_s:
-        return Finding(name, "broken", *where, what)
-    apart = f"by clocks that may be {max_clock_skew_s:g} s apart"
-    return Finding(name, "undecided", *where, f"{what}, {apart}")
+    origin = (confirmation.request.program, confirmation.request.at, confirmation.request.request)
+    if delay_s > max_clock_skew_s:
+        return Finding(name, "broken", *origin, what)
+    caveat = f"by clocks that may be {max_clock_skew_s:g} s apart"
+    return Finding(name, "undecided", *origin, f"{what}, {caveat}")
--- a/ramppost/audit/departed.py
+++ b/ramppost/audit/departed.py
@@ -1,129 +1,137 @@
-"""Checks that no attempt goes to an upstream that its gateway knows to be gone."""
+"""Checks that no attempt is sent to an upstream that its gateway knows to be gone."""
 
 from __future__ import annotations
 
 from typing import Final, NamedTuple
 
 from ramppost.audit.events import (
-    Attempted,
+    AttemptEnded,
     Event,
     Presence,
-    Started,
+    ProcessStarted,
     UpstreamSeen,
     UpstreamsListed,
 )
 from ramppost.audit.findings import Check, Finding, Findings
 
-GONE_SLACK_S: Final = 0.1
-"""An attempt is logged as it ends; that it began is worked out to the millisecond, and its upstream
-was chosen a moment before."""
-NO_ENTRY_S: Final = 1.6
-"""So long an upstream without an entry may be tried as the last resort."""
-BACK_S: Final = 0.01
-"""A process' lines are in order, so a time that is so much earlier means that its clock was set."""
+TIMING_TOLERANCE_S: Final = 0.1
+"""An attempt is logged when it ends.  Its start is computed from the duration, to the millisecond,
+and its upstream was chosen a moment before that."""
+NO_ENTRY_USE_S: Final = 1.6
+"""How long an upstream without an entry may be used as a last resort."""
+CLOCK_SET_BACK_S: Final = 0.01
+"""The lines of a process are in order, so a time that is earlier than the one before by more than
+this means that the clock was set back."""
 
 
-class _Known(NamedTuple):
-    """Since when an upstream is known to be as it is."""
+class _UpstreamState(NamedTuple):
+    """The state of an upstream, and the time since which it is known."""
 
-    at: float
+    since: float
     service: str
     presence: Presence
 
 
 class _Upstreams:
-    """Upstreams as one process knows them, by its lines."""
+    """The upstreams known to one process, according to its log."""
 
     def __init__(self) -> None:
-        self.set_back = False
-        self._known: dict[str, _Known] = {}
+        self.clock_set_back = False
+        self._states: dict[str, _UpstreamState] = {}
         self._latest = float("-inf")
         self._listed_at = float("-inf")
 
-    def at(self, now: float) -> None:
-        """A line was written then."""
-        if now < self._latest - BACK_S:
-            self.set_back = True
-        self._latest = now
-
-    def listed(self, now: float) -> None:
-        """All were listed.  The line does not tell which are there again, or gone."""
-        self._known.clear()
-        self._listed_at = now
-
-    def saw(self, event: UpstreamSeen) -> None:
-        """What is said again of one that leaves does not make it leave later, nor does the end of
-        its entry make it one that may be there."""
-        before = self._known.get(event.upstream)
+    def record_time(self, at: float) -> None:
+        """Records the time of a log line, to detect a clock that was set back."""
+        if at < self._latest - CLOCK_SET_BACK_S:
+            self.clock_set_back = True
+        self._latest = at
+
+    def reset(self, at: float) -> None:
+        """Discards all states after a full listing, whose line does not say what has changed."""
+        self._states.clear()
+        self._listed_at = at
+
+    def record_state(self, event: UpstreamSeen) -> None:
+        """Records the state of an upstream.
+
+        A repeated state keeps the time of the first.  An upstream that is leaving stays so when its
+        entry is removed.
+        """
+        previous = self._states.get(event.upstream)
         service = event.service
-        if before is not None:
-            out_already = before.presence == "out" and event.presence == "no entry"
-            if before.presence == event.presence or out_already:
+        if previous is not None:
+            already_out = previous.presence == "out" and event.presence == "no entry"
+            if previous.presence == event.presence or already_out:
                 return
-            service = service or before.service
-        self._known[event.upstream] = _Known(event.at, service, event.presence)
+            service = service or previous.service
+        self._states[event.upstream] = _UpstreamState(event.at, service, event.presence)
 
-    def gone(self, event: Attempted) -> _Known | None:
-        """Since when the upstream of an attempt was known to be gone; None where it was not."""
-        seen = self._known.get(event.upstream)
-        if seen is None or seen.presence == "there":
+    def gone_state(self, event: AttemptEnded) -> _UpstreamState | None:
+        """Returns the state of the attempt's upstream if it was known to be gone at the start."""
+        state = self._states.get(event.upstream)
+        if state is None or state.presence == "there":
             return None
-        return seen if event.began_at > seen.at + GONE_SLACK_S else None
-
-    def was_last_resort(self, event: Attempted, seen: _Known) -> bool | None:
-        """Whether an upstream without an entry was chosen among such ones alone, and in time;
-        None where the lines do not tell."""
-        if seen.presence == "out" or event.began_at > seen.at + NO_ENTRY_S + GONE_SLACK_S:
+        return state if event.started_at > state.since + TIMING_TOLERANCE_S else None
+
+    def was_last_resort(self, event: AttemptEnded, state: _UpstreamState) -> bool | None:
+        """Returns whether all candidates of the attempt lacked an entry, and the one chosen had
+        lacked it for no longer than allowed; None if the lines do not say."""
+        if (
+            state.presence == "out"
+            or event.started_at > state.since + NO_ENTRY_USE_S + TIMING_TOLERANCE_S
+        ):
             return False
         if event.candidates is None:
             return None
-        without = sum(
-            known.presence == "no entry" and known.service in (seen.service, "")
-            for known in self._known.values()
+        without_entry = sum(
+            other.presence == "no entry" and other.service in (state.service, "")
+            for other in self._states.values()
         )
-        if event.candidates <= without:
+        if event.candidates <= without_entry:
             return True
-        return None if self._listed_at > event.began_at - NO_ENTRY_S else False
+        return None if self._listed_at > event.started_at - NO_ENTRY_USE_S else False
 
 
-def gone_check() -> Check:
-    """No attempt goes to an upstream that its gateway knows to leave or to be gone.
+def departed_check() -> Check:
+    """Returns the check that no attempt is sent to an upstream known to be leaving or gone.
 
-    One whose entry is gone may be there still, for an outage of the store's takes entries away,
-    too.  So it may be tried for a while, among others of its kind, where its service has no other.
+    An upstream whose entry is gone may still be running, because an outage of the store removes
+    entries too.  It may therefore be tried for a while, along with others without an entry, if its
+    service has no other upstream.
     """
     name = "departed"
     programs: dict[str, _Upstreams] = {}
 
-    def take(event: Event) -> Findings:
-        if isinstance(event, Started):
+    def handle_event(event: Event) -> Findings:
+        if isinstance(event, ProcessStarted):
             programs.pop(event.program, None)
         upstreams = programs.setdefault(event.program, _Upstreams())
-        upstreams.at(event.at)
+        upstreams.record_time(event.at)
         if isinstance(event, UpstreamsListed):
-            upstreams.listed(event.at)
+            upstreams.reset(event.at)
         elif isinstance(event, UpstreamSeen):
-            upstreams.saw(event)
-        elif isinstance(event, Attempted):
-            yield from attempt(upstreams, event)
-
-    def attempt(upstreams: _Upstreams, event: Attempted) -> Findings:
-        seen = upstreams.gone(event)
-        # What did not leave went nowhere.
-        if seen is None or event.fate == "not sent":
+            upstreams.record_state(event)
+        elif isinstance(event, AttemptEnded):
+            yield from check_attempt(upstreams, event)
+
+    def check_attempt(upstreams: _Upstreams, event: AttemptEnded) -> Findings:
+        state = upstreams.gone_state(event)
+        # An attempt that was not sent has reached no upstream.
+        if state is None or event.outcome == "not sent":
             return
-        last_resort = upstreams.was_last_resort(event, seen)
+        last_resort = upstreams.was_last_resort(event, state)
         if last_resort:
             return
-        where = (event.program, event.at, event.request)
-        since_s = event.began_at - seen.at
-        what = f"sent to {event.upstream} {since_s:.2f} s after that was known to leave or be gone"
-        if upstreams.set_back:
-            yield Finding(name, "undecided", *where, f"{what}, by a clock that was set back")
+        origin = (event.program, event.at, event.request)
+        delay_s = event.started_at - state.since
+        what = f"sent to {event.upstream} {delay_s:.2f} s after it was known to be leaving or gone"
+        if upstreams.clock_set_back:
+            yield Finding(name, "undecided", *origin, f"{what}, by a clock that was set back")
         elif last_resort is None:
-            yield Finding(name, "undecided", *where, f"{what}, perhaps as the last resort")
+            yield Finding(name, "undecided", *origin, f"{what}, perhaps as the last resort")
         else:
-            yield Finding(name, "broken", *where, what)
+            yield Finding(name, "broken", *origin, what)
 
-    promise = "no attempt goes to an upstream that is known to leave or to be gone"
-    return Check(name, promise, take, lambda: ())
+    promise = "no attempt is sent to an upstream that is known to be leaving or gone"
+    return Check(name, promise, handle_event, lambda: ())
--- a/ramppost/audit/evacuated.py
+++ b/ramppost/audit/evacuated.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ramppost.audit.departed import BACK_S, GONE_SLACK_S
-from ramppost.audit.events import Attempted, Event, HallEvacuation, Started
+from ramppost.audit.departed import CLOCK_SET_BACK_S, TIMING_TOLERANCE_S
+from ramppost.audit.events import AttemptEnded, Event, HallEvacuation, ProcessStarted
 from ramppost.audit.findings import Check, Finding, Findings
 
 
@@ -12,14 +12,14 @@
 
     def __init__(self) -> None:
         self.evacuated_at: dict[str, float] = {}
-        self.set_back = False
+        self.clock_set_back = False
         self._latest = float("-inf")
 
-    def at(self, now: float) -> None:
+    def record_time(self, at: float) -> None:
         """Records the time of a log line, to detect a clock that was set back."""
-        if now < self._latest - BACK_S:
-            self.set_back = True
-        self._latest = now
+        if at < self._latest - CLOCK_SET_BACK_S:
+            self.clock_set_back = True
+        self._latest = at
 
 
 def evacuation_check() -> Check:
@@ -30,34 +30,34 @@
     name = "evacuated"
     programs: dict[str, _EvacuatedHalls] = {}
 
-    def take(event: Event) -> Findings:
-        if isinstance(event, Started):
+    def handle_event(event: Event) -> Findings:
+        if isinstance(event, ProcessStarted):
             programs.pop(event.program, None)
         halls = programs.setdefault(event.program, _EvacuatedHalls())
-        halls.at(event.at)
+        halls.record_time(event.at)
         if isinstance(event, HallEvacuation):
             if event.evacuated:
                 halls.evacuated_at.setdefault(event.hall, event.at)
             else:
                 halls.evacuated_at.pop(event.hall, None)
-        elif isinstance(event, Attempted):
-            yield from attempt(halls, event)
+        elif isinstance(event, AttemptEnded):
+            yield from check_attempt(halls, event)
 
-    def attempt(halls: _EvacuatedHalls, event: Attempted) -> Findings:
+    def check_attempt(halls: _EvacuatedHalls, event: AttemptEnded) -> Findings:
         evacuated_at = halls.evacuated_at.get(event.hall)
         if (
             evacuated_at is None
-            or event.fate == "not sent"
-            or event.began_at <= evacuated_at + GONE_SLACK_S
+            or event.outcome == "not sent"
+            or event.started_at <= evacuated_at + TIMING_TOLERANCE_S
         ):
             return
-        where = (event.program, event.at, event.request)
-        after_s = event.began_at - evacuated_at
-        what = f"sent to {event.upstream} {after_s:.2f} s after {event.hall} was evacuated"
-        if halls.set_back:
-            yield Finding(name, "undecided", *where, f"{what}, by a clock that was set back")
+        origin = (event.program, event.at, event.request)
+        delay_s = event.started_at - evacuated_at
+        what = f"sent to {event.upstream} {delay_s:.2f} s after {event.hall} was evacuated"
+        if halls.clock_set_back:
+            yield Finding(name, "undecided", *origin, f"{what}, by a clock that was set back")
         else:
-            yield Finding(name, "broken", *where, what)
+            yield Finding(name, "broken", *origin, what)
 
-    promise = "no attempt goes to a data hall that is known to be evacuated"
-    return Check(name, promise, take, lambda: ())
+    promise = "no attempt is sent to a data hall that is known to be evacuated"
+    return Check(name, promise, handle_event, lambda: ())
--- a/ramppost/audit/events.py
+++ b/ramppost/audit/events.py
@@ -1,7 +1,7 @@
-"""What log lines tell, as typed events.
+"""Parses log lines into typed events.
 
-This is the one place that knows the words of the lines; a line that tells nothing a check asks
-for gives no event.
+This is the only module that knows the texts of log messages.  A line that no check needs gives no
+event.
 """
 
 from __future__ import annotations
@@ -12,27 +12,27 @@
 
 from ramppost.audit.lines import Line
 
-Fate = Literal["answered", "refused", "not sent", "cancelled", "unknown"]
-"""What became of an attempt: an answer, a refusal that says it was not run, nothing sent, given up
-here, or nothing heard of it."""
+Outcome = Literal["answered", "refused", "not sent", "cancelled", "unknown"]
+"""Outcome of an attempt: a response, a refusal that says it was not run, not sent at all, cancelled
+by the gateway, or no response."""
 Presence = Literal["there", "no entry", "out"]
-"""Of an upstream at a gateway: it takes work, its entry is gone, which an outage of the store's may
-be, or it leaves or is gone."""
-ATTEMPT: Final = re.compile(r"attempt \d+: (.*)", re.DOTALL)
-PRESENCES: Final[dict[str, Presence]] = {
+"""State of an upstream at a gateway: it takes requests; its entry is missing, which an outage of
+the store may also cause; or it is leaving or gone."""
+ATTEMPT_MESSAGE: Final = re.compile(r"attempt \d+: (.*)", re.DOTALL)
+PRESENCE_BY_MESSAGE: Final[dict[str, Presence]] = {
     "upstream there": "there",
     "upstream's entry gone": "no entry",
 }
-EVACUATIONS: Final = {
+EVACUATED_BY_MESSAGE: Final = {
     "data hall evacuation started": True,
     "data hall evacuation ended": False,
 }
-OLDEST_S: Final = 999.0
-"""An age that a line tells so is this or more."""
-NOT_SENT: Final = ("no connection to ", "not sent: ")
+MAX_LOGGED_AGE_S: Final = 999.0
+"""Ages are capped at this value in log lines, so this age means this or more."""
+NOT_SENT_PREFIXES: Final = ("no connection to ", "not sent: ")
 
 
-class Started(NamedTuple):
+class ProcessStarted(NamedTuple):
     """A process has started."""
 
     program: str
@@ -40,18 +40,20 @@
 
 
 class ConfigInForce(NamedTuple):
-    """A process has put a configuration in force; `before` is the version until then, None for
-    its first."""
+    """A process has put a configuration in force.
+
+    `previous_version` is the version it replaced, None for the first of a process.
+    """
 
     program: str
     at: float
     version: int
     revision: int
-    before: int | None
+    previous_version: int | None
 
 
 class UpstreamSeen(NamedTuple):
-    """A process has learned of an upstream; `service` is empty where the line does not tell."""
+    """A process has logged the state of an upstream; `service` is empty if the line lacks it."""
 
     program: str
     at: float
@@ -61,25 +63,27 @@
 
 
 class UpstreamsListed(NamedTuple):
-    """A process has read the whole list of upstreams, which may have changed in any way."""
+    """A process has read the complete list of upstreams, any of which may have changed."""
 
     program: str
     at: float
 
 
-class Attempted(NamedTuple):
-    """An attempt of a request has ended; `began_at` is when it was begun, `fingerprint` what the
-    request has in common with its other tries, empty where the line does not tell, `candidates`
-    how many upstreams it was chosen from, None where the line does not tell, `hall` the upstream's
-    data hall, empty where the line does not tell."""
+class AttemptEnded(NamedTuple):
+    """An attempt of a request has ended.
+
+    `fingerprint` is the same for all tries of a request, `candidates` is the number of upstreams
+    that `upstream` was chosen from, and `hall` is its data hall.  A line may lack these three:
+    `fingerprint` and `hall` are then empty, and `candidates` is None.
+    """
 
     program: str
     at: float
     request: str
     fingerprint: str
     upstream: str
-    began_at: float
-    fate: Fate
+    started_at: float
+    outcome: Outcome
     candidates: int | None
     hall: str = ""
 
@@ -93,10 +97,13 @@
     evacuated: bool
 
 
-class Ended(NamedTuple):
-    """A request has its end; `ran` is what a refusal said of it, empty for other ends, `attempts`
-    how many it had, `confirmed_at` when the configuration in force was known to be the newest; None
-    where the line does not tell."""
+class RequestEnded(NamedTuple):
+    """A request has ended.
+
+    `ran` is what a refusal says about whether the request ran, empty for other ends.  `attempts`
+    is the number of attempts, and `confirmed_at` the time as of which the configuration in force
+    was known to be the newest; both are None if the line lacks them.
+    """
 
     program: str
     at: float
@@ -106,9 +113,11 @@
     confirmed_at: float | None
 
 
-class FatalKnown(NamedTuple):
-    """A process has learned whether a request is fatal to upstreams; an empty `fingerprint` that
-    none is any more."""
+class FatalRequestUpdate(NamedTuple):
+    """A process has learned whether a request is fatal to upstreams.
+
+    An empty `fingerprint` means that no request is considered fatal any more.
+    """
 
     program: str
     at: float
@@ -117,88 +126,88 @@
 
 
 Event = (
-    Started
+    ProcessStarted
     | ConfigInForce
     | UpstreamSeen
     | UpstreamsListed
-    | Attempted
+    | AttemptEnded
     | HallEvacuation
-    | Ended
-    | FatalKnown
+    | RequestEnded
+    | FatalRequestUpdate
 )
 
 
-def event_of(line: Line) -> Event | None:
-    """What a line tells; None where that is nothing, or where it lacks what its kind has."""
-    make = MAKERS.get(line.module)
+def parse_event(line: Line) -> Event | None:
+    """Returns the event of a line; None if it has none, or lacks a field that its kind requires."""
+    parse = PARSERS_BY_MODULE.get(line.module)
     try:
-        return make(line) if make is not None else None
+        return parse(line) if parse is not None else None
     except (KeyError, TypeError, ValueError):
         return None
 
 
-def _started(line: Line) -> Event | None:
-    return Started(line.program, line.at) if line.message == "starting" else None
+def _parse_start(line: Line) -> Event | None:
+    return ProcessStarted(line.program, line.at) if line.message == "starting" else None
 
 
-def _seen(line: Line) -> Event | None:
+def _parse_watcher_line(line: Line) -> Event | None:
     fields = line.fields
     if line.message == "configuration in force":
-        before = None if fields["before"] is None else int(fields["before"])
+        previous_version = None if fields["before"] is None else int(fields["before"])
         return ConfigInForce(
-            line.program, line.at, int(fields["version"]), int(fields["revision"]), before
+            line.program, line.at, int(fields["version"]), int(fields["revision"]), previous_version
         )
     if line.message == "upstreams listed":
         return UpstreamsListed(line.program, line.at)
     if line.message.startswith("upstream") and "upstream" in fields:
-        presence = PRESENCES.get(line.message, "out")
+        presence = PRESENCE_BY_MESSAGE.get(line.message, "out")
         service = str(fields.get("service", ""))
         return UpstreamSeen(line.program, line.at, str(fields["upstream"]), service, presence)
     return None
 
 
-def _attempted(line: Line) -> Event | None:
-    found = ATTEMPT.fullmatch(line.message)
-    if found is None:
+def _parse_attempt(line: Line) -> Event | None:
+    match = ATTEMPT_MESSAGE.fullmatch(line.message)
+    if match is None:
         return None
     fields = line.fields
-    began_at = line.at - float(fields["took_s"])
-    return Attempted(
+    started_at = line.at - float(fields["took_s"])
+    return AttemptEnded(
         line.program,
         line.at,
         str(fields["request"]),
         str(fields.get("fingerprint", "")),
         str(fields["upstream"]),
-        began_at,
-        _fate(found[1]),
+        started_at,
+        _parse_outcome(match[1]),
         int(fields["candidates"]) if "candidates" in fields else None,
         str(fields.get("hall", "")),
     )
 
 
-def _evacuation(line: Line) -> Event | None:
-    evacuated = EVACUATIONS.get(line.message)
+def _parse_evacuation(line: Line) -> Event | None:
+    evacuated = EVACUATED_BY_MESSAGE.get(line.message)
     if evacuated is None:
         return None
     return HallEvacuation(line.program, line.at, str(line.fields["hall"]), evacuated)
 
 
-def _fate(outcome: str) -> Fate:
-    if outcome.startswith("status "):
+def _parse_outcome(text: str) -> Outcome:
+    if text.startswith("status "):
         return "answered"
-    if outcome.startswith("refused with "):
+    if text.startswith("refused with "):
         return "refused"
-    if outcome.startswith(NOT_SENT):
+    if text.startswith(NOT_SENT_PREFIXES):
         return "not sent"
-    return "cancelled" if outcome == "cancelled" else "unknown"
+    return "cancelled" if text == "cancelled" else "unknown"
 
 
-def _ended(line: Line) -> Event | None:
+def _parse_request_end(line: Line) -> Event | None:
     fields: dict[str, Any] = line.fields
     refused = "ran" in fields and "code" in fields
     if not refused and "took_s" not in fields:
         return None
-    return Ended(
+    return RequestEnded(
         line.program,
         line.at,
         str(fields["request"]),
@@ -209,29 +218,29 @@
 
 
 def _confirmed_at(line: Line) -> float | None:
-    age_s = float(line.fields.get("config_age_s", OLDEST_S))
-    return line.at - age_s if age_s < OLDEST_S else None
+    age_s = float(line.fields.get("config_age_s", MAX_LOGGED_AGE_S))
+    return line.at - age_s if age_s < MAX_LOGGED_AGE_S else None
 
 
-def _fatal(line: Line) -> Event | None:
+def _parse_fatal_request(line: Line) -> Event | None:
     fields = line.fields
     if line.message.startswith("fatal requests removed"):
-        return FatalKnown(line.program, line.at, "", False)
+        return FatalRequestUpdate(line.program, line.at, "", False)
     fatal = {"request held to be fatal": True, "request cleared": False}.get(line.message)
     if line.message == "fatal request known" and fields["certain"]:
         fatal = True
     if fatal is None:
         return None
-    return FatalKnown(line.program, line.at, str(fields["fingerprint"]), fatal)
+    return FatalRequestUpdate(line.program, line.at, str(fields["fingerprint"]), fatal)
 
 
-MAKERS: Final[dict[str, Callable[[Line], Event | None]]] = {
-    "main": _started,
-    "watchers": _seen,
-    "attempt": _attempted,
-    "evacuations": _evacuation,
-    "fatal": _fatal,
-    "fatal_doc": _fatal,
-    "serve": _ended,
+PARSERS_BY_MODULE: Final[dict[str, Callable[[Line], Event | None]]] = {
+    "main": _parse_start,
+    "watchers": _parse_watcher_line,
+    "attempt": _parse_attempt,
+    "evacuations": _parse_evacuation,
+    "fatal": _parse_fatal_request,
+    "fatal_doc": _parse_fatal_request,
+    "serve": _parse_request_end,
 }
-"""By the module that writes the line."""
+"""Parsers by the module that writes the line."""
--- a/ramppost/audit/findings.py
+++ b/ramppost/audit/findings.py
@@ -1,4 +1,4 @@
-"""What a check is, and what it finds."""
+"""The types of a check and of what it reports."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class Finding(NamedTuple):
-    """A promise that was broken, or can't be decided, at a process and a time of its clock."""
+    """A violation of a guarantee, or a case that the log lines can't decide.
+
+    `at` is a time by the clock of the process named by `program`.
+    """
 
     check: str
     verdict: Literal["broken", "undecided"]
@@ -23,9 +26,12 @@
 
 
 class Check(NamedTuple):
-    """What it checks, in a line; what it does with an event, and with the end of all."""
+    """A check of one guarantee, which `promise` states in a line.
+
+    `handle_event` is called with each event, and `finish` once after the last.
+    """
 
     name: str
     promise: str
-    take: Callable[[Event], Findings]
-    end: Callable[[], Findings]
+    handle_event: Callable[[Event], Findings]
+    finish: Callable[[], Findings]
--- a/ramppost/audit/lines.py
+++ b/ramppost/audit/lines.py
@@ -1,7 +1,7 @@
-"""Reads log lines of gateways: JSON, one to a line, plain or compressed by gzip.
+"""Reads the JSON log lines of gateways from plain or gzip files.
 
-What stands before a line's first brace is passed over, for what collects logs often puts a time or
-a name there.  A line that can't be read is counted and nothing else: it may have been cut.
+Text before the first brace of a line is ignored, because log collectors often prepend a time or a
+name.  Lines that can't be decoded are only counted: they may have been truncated.
 """
 
 from __future__ import annotations
@@ -20,8 +20,11 @@
 
 
 class Line(NamedTuple):
-    """A line: the process that wrote it, when by its clock (time of day, seconds), its module
-    without the package, its message, and the other fields."""
+    """A decoded log line.
+
+    `at` is the time of day in seconds by the clock of the process, and `module` the name of the
+    module without its package.  `fields` holds all fields of the line.
+    """
 
     program: str
     at: float
@@ -31,44 +34,44 @@
 
 
 class Unreadable(NamedTuple):
-    """A line that is no JSON object, or lacks what every line has."""
+    """A line that is not a JSON object, or lacks a field that every line has."""
 
-    where: str
+    location: str
 
 
-class CantOpen(NamedTuple):
-    """A file that can't be read, and why."""
+class FileError(NamedTuple):
+    """A file that can't be read, and the reason."""
 
     path: str
     reason: str
 
 
-def read_lines(path: str) -> Iterator[Line | Unreadable | CantOpen]:
-    """The lines of a file, `-` for standard input."""
+def read_lines(path: str) -> Iterator[Line | Unreadable | FileError]:
+    """Reads the lines of a file, or of standard input if `path` is `-`."""
     number = 0
     try:
-        with _opened(path) as file:
+        with _open(path) as file:
             for number, raw in enumerate(file, 1):
-                found = _line(raw)
-                yield Unreadable(f"{path}:{number}") if found is None else found
+                line = _parse_line(raw)
+                yield Unreadable(f"{path}:{number}") if line is None else line
     except (OSError, EOFError) as exc:
-        yield CantOpen(path, f"after line {number}: {exc}" if number else str(exc))
+        yield FileError(path, f"after line {number}: {exc}" if number else str(exc))
 
 
-def _opened(path: str) -> AbstractContextManager[Iterable[bytes]]:
+def _open(path: str) -> AbstractContextManager[Iterable[bytes]]:
     if path == STDIN:
         return nullcontext(sys.stdin.buffer)
     with Path(path).open("rb") as file:
-        packed = file.read(2) == b"\x1f\x8b"
-    return gzip.open(path, "rb") if packed else Path(path).open("rb")
+        compressed = file.read(2) == b"\x1f\x8b"
+    return gzip.open(path, "rb") if compressed else Path(path).open("rb")
 
 
-def _line(raw: bytes) -> Line | None:
-    begin = raw.find(b"{")
-    fields = decode(raw[begin:], dict[str, Any]) if begin >= 0 else None
+def _parse_line(raw: bytes) -> Line | None:
+    start = raw.find(b"{")
+    fields = decode(raw[start:], dict[str, Any]) if start >= 0 else None
     if fields is None or isinstance(fields, BadMessage):
         return None
-    program, at = fields.get("program"), _time(fields.get("at"))
+    program, at = fields.get("program"), _parse_time(fields.get("at"))
     module, message = fields.get("module"), fields.get("message")
     if not isinstance(program, str) or not isinstance(module, str):
         return None
@@ -77,7 +80,7 @@
     return Line(program, at, module.rpartition(".")[2], message, fields)
 
 
-def _time(text: Any) -> float | None:
+def _parse_time(text: Any) -> float | None:
     try:
         return datetime.fromisoformat(text).timestamp()
     except (TypeError, ValueError):
