--- a/ramppost/entry/state.py
+++ b/ramppost/entry/state.py
@@ -1,4 +1,4 @@
-"""State of an entry."""
+"""State of an entry process."""
 
 from __future__ import annotations
 
@@ -26,32 +26,34 @@
 from ramppost.wire.codec import encode
 from ramppost.wire.server import Meter
 
-SETTLED_TIMEOUT_S: Final = 2.0
+SETTLED_CALL_TIMEOUT_S: Final = 2.0
 CLAIMS_READ_TIMEOUT_S: Final = 3.0
 RATINGS_PER_S: Final = 40.0
 RATING_BURST_S: Final = 4.0
 
 
 class TrialRequests(NamedTuple):
-    """Requests that this entry sent to a trial in a step."""
+    """Number of requests that this entry sent to a trial version in a rollout step."""
 
     step: int
     requests: int
 
 
 class Entry:
-    """Everything an entry holds; all of it may be lost at any time."""
+    """In-memory state of an entry; the process must tolerate losing all of it at any time."""
 
     def __init__(self, cfg: EntrySettings) -> None:
         self.cfg = cfg
-        where = cfg["internal"]
-        self.name = ids.incarnation(cfg.get("advertise", f"{where['host']}:{where['port']}"))
-        self.pool = Pool(where["host"])
+        internal = cfg["internal"]
+        self.name = ids.incarnation(cfg.get("advertise", f"{internal['host']}:{internal['port']}"))
+        self.pool = Pool(internal["host"])
         self.client = Client(cfg["platform"], self.pool)
         self.conf = ConfState()
         self.rng = random.Random()
-        size = cfg.get("subset", 8)
-        self.upstreams = Upstreams(cfg["name"], cfg["hall"], self.name, self.pool, size, self.rng)
+        subset_size = cfg.get("subset", 8)
+        self.upstreams = Upstreams(
+            cfg["name"], cfg["hall"], self.name, self.pool, subset_size, self.rng
+        )
         self.upstreams.add_configured(cfg["agents"])
         self.claim_log = ClaimLog(self.client, cfg.get("claim_window_ms", 10) / 1000)
         self.claim_homes = ClaimHomes(self.claim_log, self.upstreams, self.pool, self.name)
@@ -78,43 +80,49 @@
         self.conf.on_adopt.append(self._on_config_adopted)
 
     def may_send_to_trial(self, rollout: Rollout) -> bool:
-        """Whether this entry's part of the cap on a step's exposure has room."""
+        """Whether this entry's part of the rollout step's "max_exposed" is not used up."""
         if "max_exposed" not in rollout:
             return True
         trial, step = trial_count_key(rollout), rollout["step"]
         rank = self.upstreams.rank(f"{trial.mv.text} {trial.since} {step}")
         part = split_cap(rollout["max_exposed"], self.upstreams.entry_count(), rank)
-        return self._trial_requests_in(trial, step) < part
+        return self._trial_requests_of_step(trial, step) < part
 
     def count_trial_request(self, doc: ConfigDoc, mv: ModelVersion) -> None:
-        """Count a request that goes to a trial."""
+        """Count a request that is sent to a trial version."""
         rollout = running_rollout(doc, mv.model)
         step = rollout["step"] if rollout else 0
         trial = count_key_of(doc, mv)
         self.trial_requests_by_key[trial] = TrialRequests(
-            step, self._trial_requests_in(trial, step) + 1
+            step, self._trial_requests_of_step(trial, step) + 1
         )
 
-    def _trial_requests_in(self, trial: CountKey, step: int) -> int:
-        """Requests that went to a trial in a step."""
+    def _trial_requests_of_step(self, trial: CountKey, step: int) -> int:
+        """Number of requests that this entry sent to a trial version in a step."""
         current = self.trial_requests_by_key.get(trial)
         return current.requests if current and current.step == step else 0
 
     @property
     def running_requests(self) -> int:
-        """Callers' requests under way."""
+        """Number of callers' requests in progress."""
         return sum(self.running_by_workspace.values())
 
     @property
     def ready(self) -> bool:
-        """Whether callers should be sent here: configured, and claims read or not to be had."""
-        claims = self.claim_homes.logs_read or clock.now() - self.started_at > CLAIMS_READ_TIMEOUT_S
-        return self.conf.doc is not None and not self.leaving and claims
+        """Whether this entry should get requests from callers.
+
+        It needs a configuration, must not be stopping, and must have read its shards' claim logs
+        or have waited `CLAIMS_READ_TIMEOUT_S` for them.
+        """
+        claims_known = (
+            self.claim_homes.logs_read or clock.now() - self.started_at > CLAIMS_READ_TIMEOUT_S
+        )
+        return self.conf.doc is not None and not self.leaving and claims_known
 
     def token_bucket(self, ws: Workspace) -> TokenBucket:
-        """This entry's part of a workspace's tokens."""
-        part = 1 / self.upstreams.entry_count()
-        rate, burst = ws["tokens_per_s"] * part, ws["burst_tokens"] * part
+        """Token bucket with this entry's part of a workspace's rate and burst."""
+        share = 1 / self.upstreams.entry_count()
+        rate, burst = ws["tokens_per_s"] * share, ws["burst_tokens"] * share
         bucket = self.token_buckets.get(ws["name"])
         if bucket is None or (bucket.rate, bucket.burst) != (rate, burst):
             replacement = TokenBucket(rate, burst, clock.now())
@@ -124,14 +132,14 @@
         return bucket
 
     def rating_bucket(self) -> TokenBucket:
-        """This entry's part of the ratings that the fleet asks for."""
+        """Bucket of this entry's part of `RATINGS_PER_S`, a rate of all entries together."""
         rate = RATINGS_PER_S / self.upstreams.entry_count()
         if self._rating_bucket.rate != rate:
             self._rating_bucket = TokenBucket(rate, RATING_BURST_S * rate, clock.now())
         return self._rating_bucket
 
     def queue_bill_line(self, line: BillLine, agent: str) -> None:
-        """Queue a bill line; its agent is told when it is in the ledger."""
+        """Queue a bill line for the ledger; its agent is notified once the line is stored there."""
         self.agent_by_attempt[line["attempt"]] = agent
         self.filer.add(line)
         self.copies.add(line)
@@ -148,5 +156,5 @@
                 by_agent.setdefault(agent, []).append(line["attempt"])
         for agent, attempts in by_agent.items():
             msg = SettledMsg(entry=self.name, attempts=attempts, rev=self.conf.rev)
-            await call(self.pool, agent, "POST", "/a/settled", encode(msg), SETTLED_TIMEOUT_S)
+            await call(self.pool, agent, "POST", "/a/settled", encode(msg), SETTLED_CALL_TIMEOUT_S)
         await self.copies.notify_settled(lines)
--- a/ramppost/entry/upstreams.py
+++ b/ramppost/entry/upstreams.py
@@ -1,8 +1,8 @@
-"""What an entry knows of the agents it speaks with.
+"""An entry's view of the agents in its subset.
 
-The box list, which lags, tells who is there; replies and, when there are none,
-polls tell how each is.  An agent that says it is leaving, or that the box list
-says is leaving, gets nothing new, whichever is first.
+Membership comes from the platform's box list, which lags.  Load and health come from replies
+and, without recent replies, from polls.  An agent gets no new requests as soon as either the
+agent itself or the box list reports it as leaving.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class Upstream:
-    """An agent as this entry sees it."""
+    """An agent, with its state as last reported and the requests that this entry sent to it."""
 
     def __init__(self, addr: str, hall: str) -> None:
         self.addr = addr
@@ -63,7 +63,7 @@
         self.polled_at = 0.0
 
     def usable(self, now: float) -> bool:
-        """Whether it may get new work."""
+        """Whether the agent may get new requests."""
         return (
             bool(self.ticket)
             and self.alive
@@ -72,11 +72,14 @@
         )
 
     def record_reply(self, ticket: str, load: Load, counts: list[VersionCount], rev: int) -> None:
-        """Take in what a reply tells; a new incarnation counts from nothing."""
+        """Update the state from a reply.
+
+        A new incarnation starts its counts from 0, so those of the old one are kept separately.
+        """
         if ids.parse_ticket(ticket).incarnation != ids.parse_ticket(self.ticket).incarnation:
-            for what, count in self.counts.items():
-                self.earlier_counts[what] = add_counts(
-                    self.earlier_counts.get(what, OutcomeCounts()), count
+            for key, count in self.counts.items():
+                self.earlier_counts[key] = add_counts(
+                    self.earlier_counts.get(key, OutcomeCounts()), count
                 )
             self.counts = {}
         self.ticket = ticket
@@ -86,11 +89,11 @@
         self.rev = rev
         self.ejection.record_success()
         for item in counts:
-            what = CountKey(ModelVersion(item["model"], item["version"]), item["since"])
-            self.counts[what] = OutcomeCounts(item["ok"], item["bad"], item["slow"])
+            key = CountKey(ModelVersion(item["model"], item["version"]), item["since"])
+            self.counts[key] = OutcomeCounts(item["ok"], item["bad"], item["slow"])
 
     def view(self) -> AgentView:
-        """For the choice among agents."""
+        """The agent's state in the form that `rank_agents` takes."""
         return AgentView(
             self.addr,
             self.hall,
@@ -102,9 +105,9 @@
 
 
 class Upstreams:
-    """All agents of this entry's subset, by address, and which entries there are.
+    """The agents of this entry's subset, by address, and the addresses of all entries.
 
-    `live_entries` holds the addresses of the entries that the box list holds live, and this one's.
+    `live_entries` has the entries that are live in the box list, and always this one.
     """
 
     def __init__(
@@ -128,12 +131,15 @@
         self._ranked_entries: dict[tuple[str, ...], list[str]] = {}
 
     def add_configured(self, addrs: list[str]) -> None:
-        """Agents from the settings, for the time before the box list is read."""
+        """Add agents from the settings, which are used until the box list is read."""
         for addr in addrs:
             self.by_addr.setdefault(addr, Upstream(addr, ""))
 
     def update_boxes(self, boxes: list[Box]) -> None:
-        """Take in the box list."""
+        """Update the agents and entries from the box list.
+
+        An agent that left the subset is kept while this entry has requests running on it.
+        """
         self.boxes = boxes
         live = {b["addr"] for b in boxes if b["role"] == "entry" and b["state"] == "live"}
         self.live_entries = live | {ids.address(self.entry_name)}
@@ -148,11 +154,14 @@
                 del self.by_addr[addr]
 
     def entry_count(self) -> int:
-        """How many entries there are."""
+        """Number of entries."""
         return len(self.live_entries)
 
     def ranked_entries(self, *salt: str) -> list[str]:
-        """All entries in an order that the salt gives, kept until the box list changes."""
+        """Addresses of all entries in rendezvous order for a salt.
+
+        The order is cached until the box list changes.
+        """
         if salt not in self._ranked_entries:
             self._ranked_entries[salt] = sorted(
                 self.live_entries, key=lambda addr: hash_fraction(*salt, addr)
@@ -160,25 +169,25 @@
         return self._ranked_entries[salt]
 
     def rank(self, salt: str) -> int:
-        """This entry's place among all, from 0, in an order that the salt gives."""
+        """This entry's rank among all entries, from 0, in rendezvous order for a salt."""
         return self.ranked_entries(salt).index(ids.address(self.entry_name))
 
     def candidates(self, mv: ModelVersion, service: str) -> list[Upstream]:
-        """Agents that may get a request for a version or a service now."""
+        """Agents that may get a request for a version, or for a service if one is named."""
         now = clock.now()
         if service:
             return [u for u in self.by_addr.values() if u.service == service and u.usable(now)]
         return [u for u in self.by_addr.values() if mv.text in u.versions and u.usable(now)]
 
     def ranked_agents(self, mv: ModelVersion, service: str, prefix: str) -> list[Upstream]:
-        """Agents to try, best first."""
+        """Agents to try for a request, best first."""
         found = self.candidates(mv, service)
         now = clock.now()
         addrs = rank_agents([u.view() for u in found], now, self.hall, prefix, self.rng)
         return [self.by_addr[addr] for addr in addrs]
 
     def report_lines(self) -> list[UpstreamLine]:
-        """All agents of the subset, for people and checks."""
+        """A line for each agent of the subset, for `/x/upstreams`."""
         now = clock.now()
         return [
             UpstreamLine(
@@ -195,52 +204,59 @@
         ]
 
     def total_counts(self, mv: ModelVersion, since: int | None = None) -> OutcomeCounts:
-        """What all agents of the subset have seen of a version, or of it in one roll-out."""
+        """Outcomes of a version at all agents of the subset.
+
+        With `since`, only outcomes from the rollout that this revision started are counted.
+        """
         total = OutcomeCounts()
         for up in self.by_addr.values():
-            for what, count in (*up.counts.items(), *up.earlier_counts.items()):
-                if what.mv == mv and since in (None, what.since):
+            for key, count in (*up.counts.items(), *up.earlier_counts.items()):
+                if key.mv == mv and since in (None, key.since):
                     total = add_counts(total, count)
         return total
 
     def record_head(self, up: Upstream, head: Head) -> None:
-        """Take in the head of a reply, which also tells that an agent is leaving."""
+        """Update an agent from the head of a reply, which may also report that it is leaving."""
         up.record_reply(head["agent"], head["load"], head["counts"], head["rev"])
         if head["reason"] == "leaving":
             up.alive = False
 
     async def follow_box_list(self, platform: str) -> None:
-        """Read the box list now and then, until cancelled."""
-        seen = ""
+        """Read the box list periodically until cancelled."""
+        etag = ""
         while True:
-            found = await fetch_boxes(self.pool, platform, seen)
+            found = await fetch_boxes(self.pool, platform, etag)
             if isinstance(found, BoxList):
-                seen = found.etag
+                etag = found.etag
                 self.update_boxes(found.boxes)
             await curio.sleep(BOX_LIST_PERIOD_S * random.uniform(0.75, 1.25))
 
-    async def poll_agents(self, rev: list[int]) -> None:
-        """Ask agents that have been silent how they are, until cancelled.
+    async def poll_agents(self, revision_ref: list[int]) -> None:
+        """Poll agents without a recent reply until cancelled.
 
-        `rev` holds this entry's configuration revision, which rides on the question.
-        Agents that answer are asked less often the more there are; those that don't,
-        or were never heard, come first, so that they are back in use soon.
+        `revision_ref` holds this entry's configuration revision, which is sent with each poll.
+        The number of polls per period is limited, so usable agents are polled less often the more
+        of them there are.  Agents that do not answer, or never have, are polled first, so that
+        they can be used again soon.
         """
         while True:
             now = clock.now()
-            lost, idle = self._agents_to_poll(now)
-            for up in (*lost[:MAX_UNUSABLE_POLLS], *idle[:MAX_IDLE_POLLS]):
+            unusable, idle = self._agents_to_poll(now)
+            for up in (*unusable[:MAX_UNUSABLE_POLLS], *idle[:MAX_IDLE_POLLS]):
                 up.polling, up.polled_at = True, now
-                await curio.spawn(self._poll_agent, up, rev[0], daemon=True)
+                await curio.spawn(self._poll_agent, up, revision_ref[0], daemon=True)
             await curio.sleep(POLL_PERIOD_S)
 
     def _agents_to_poll(self, now: float) -> tuple[list[Upstream], list[Upstream]]:
-        """Agents to ask: those that are not in use, and those not heard lately, longest first."""
-        free = [u for u in self.by_addr.values() if not u.polling]
-        free.sort(key=lambda u: u.polled_at)
-        lost = [u for u in free if not u.usable(now)]
-        idle = [u for u in free if u.usable(now) and now - u.last_reply_at > IDLE_AFTER_S]
-        return lost, idle
+        """Agents to poll, least recently polled first: unusable ones, and idle ones.
+
+        Idle agents are usable, but have not replied for `IDLE_AFTER_S`.
+        """
+        pollable = [u for u in self.by_addr.values() if not u.polling]
+        pollable.sort(key=lambda u: u.polled_at)
+        unusable = [u for u in pollable if not u.usable(now)]
+        idle = [u for u in pollable if u.usable(now) and now - u.last_reply_at > IDLE_AFTER_S]
+        return unusable, idle
 
     async def _poll_agent(self, up: Upstream, rev: int) -> None:
         body = encode(StatusMsg(entry=self.entry_name, rev=rev))
