--- a/ramppost/entry/claimhome.py
+++ b/ramppost/entry/claimhome.py
@@ -1,13 +1,14 @@
 """Sends the claims of a shard through one entry, its home, so that they share writes.
 
-The home is found by rendezvous among the entries that the box list holds live;
-the next in rank is its deputy.  Both keep the shard's log read.  This is a matter
-of cost, not of safety: a shard's log can be written by any entry (see
-`ramppost.policy.claims`).  So where neither can take a claim, the entry tries
-itself, and finds its own nonce in the log if one of them had written it after all.
-
-Every entry also remembers the claims it was told of, so that it knows a key that
-it served when nobody else can be asked.
+The home is chosen by rendezvous hashing among the entries that are live in the box list; the
+next entry in rank is its deputy.  Both read the shard's log regularly.  Homes only reduce the
+cost; safety does not depend on them, because any entry can write to a shard's log (see
+`ramppost.policy.claims`).  If neither home nor deputy can take a claim, the entry therefore
+writes it itself.  If one of them has written it after all, the entry finds its own nonce in
+the log.
+
+Every entry also remembers the claims that it has learned of, so that it recognizes a key that
+it has served when no other entry can be reached.
 """
 
 from __future__ import annotations
@@ -47,7 +48,7 @@
 
 
 class ClaimHomes:
-    """Takes claims through their shards' homes."""
+    """Takes and looks up claims through the homes of their shards."""
 
     def __init__(
         self, claim_log: ClaimLog, upstreams: Upstreams, pool: Pool, entry_name: str
@@ -62,14 +63,14 @@
         self.logs_read = False
 
     def readers(self, shard: int) -> list[str]:
-        """Addresses of a shard's home and deputy."""
-        ordered = self.upstreams.ranked_entries("claim-home", str(shard))
+        """Addresses of a shard's home and deputy, in this order."""
+        ranked = self.upstreams.ranked_entries("claim-home", str(shard))
         return list(
-            islice((addr for addr in ordered if addr not in self.unresponsive), READERS_PER_SHARD)
+            islice((addr for addr in ranked if addr not in self.unresponsive), READERS_PER_SHARD)
         )
 
     async def claim(self, claim: Claim) -> Outcome:
-        """Take a claim; the outcome is final."""
+        """Take a claim and return the final outcome."""
         out = await self._claim(claim)
         if isinstance(out, Granted):
             self.known_claims.add_claim(claim)
@@ -86,20 +87,27 @@
         return out if held is None else Taken(held)
 
     async def lookup_ran(self, key: str) -> Ran:
-        """What can truly be said of a key that was not claimed now: whether it ever ran."""
+        """Whether a request with a key has run, for a key that this request has not claimed.
+
+        "unknown" if a claim of the key is still open, or if the platform can't be read and not all
+        entries that were asked had read the shard's log before.
+        """
         out = await self._ask_in_order(shard_of(key), PEEK_PATH, PeekMsg(key=key))
         if isinstance(out, Taken):
             return RAN_BY_STATE[out.held["state"]]
-        told = self.known_claims.get(key)
-        if isinstance(out, NoClaim) and told is not None:
-            return RAN_BY_STATE[told["state"]]
+        known = self.known_claims.get(key)
+        if isinstance(out, NoClaim) and known is not None:
+            return RAN_BY_STATE[known["state"]]
         return "unknown" if isinstance(out, NoClaim) and not out.sure else "no"
 
     async def _ask_in_order(self, shard: int, path: str, msg: Claim | PeekMsg) -> Outcome | Free:
-        """What the home says; where it can't say, the deputy; then this entry's own log."""
-        ranks = self.readers(shard)
+        """Ask home, deputy and this entry's own log, in this order, until one can tell.
+
+        If none can, the result is `sure` only if all of them are.
+        """
+        readers = self.readers(shard)
         sure, reason = True, ""
-        for addr in ranks if self.own_addr in ranks else [*ranks, self.own_addr]:
+        for addr in readers if self.own_addr in readers else [*readers, self.own_addr]:
             out = await (
                 self.ask_own_log(msg) if addr == self.own_addr else self._ask_entry(addr, path, msg)
             )
@@ -109,20 +117,20 @@
         return NoClaim(reason, sure)
 
     async def ask_own_log(self, msg: Claim | PeekMsg) -> Outcome | Free:
-        """What this entry's own log says."""
+        """Take or look up a claim in this entry's own log."""
         if "nonce" in msg:
             return await self.claim_log.claim(msg)
         return await self.claim_log.lookup(msg["key"])
 
     async def record_end(self, claim: Claim) -> None:
-        """Record the end of a claim of ours; nobody waits for it."""
+        """Record the end of a claim of this entry, in the background."""
         self.pending_ends += 1
         self.known_claims.add_claim(claim)
         await curio.spawn(self._write_end, claim, daemon=True)
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is on its way."""
+        """Whether no claim or end of a claim is waiting to be written."""
         return not self.pending_ends and self.claim_log.idle
 
     async def _write_end(self, claim: Claim) -> None:
@@ -132,27 +140,30 @@
             self.pending_ends -= 1
 
     async def follow_logs(self) -> None:
-        """Keep the logs of this entry's shards read, until cancelled."""
+        """Read the logs of the shards whose home or deputy is this entry, until cancelled.
+
+        The home also expires old segments.
+        """
         while not self.upstreams.boxes:
             await curio.sleep(BOX_LIST_POLL_S)
         while True:
             for shard in range(SHARDS):
-                ranks = self.readers(shard)
-                if self.own_addr in ranks:
-                    await self._refresh(shard)
-                if self.own_addr == ranks[0]:
+                readers = self.readers(shard)
+                if self.own_addr in readers:
+                    await self._read_if_stale(shard)
+                if self.own_addr == readers[0]:
                     await self.claim_log.expire(shard)
             self.logs_read = True
             self.known_claims.trim(MAX_KNOWN_CLAIMS)
             await curio.sleep(READ_PERIOD_S)
 
-    async def _refresh(self, shard: int) -> None:
+    async def _read_if_stale(self, shard: int) -> None:
         age_s = clock.now() - self.claim_log.read_at.get(shard, -READ_PERIOD_S)
         if age_s >= READ_PERIOD_S:
             await self.claim_log.read_shard(shard)
 
     async def _ask_entry(self, addr: str, path: str, msg: Claim | PeekMsg) -> Outcome | Free:
-        """What another entry says; one that gives no answer is not asked for a while."""
+        """Ask another entry; one that gives no valid answer is skipped for a while."""
         got = await call(self.pool, addr, "POST", path, encode(msg), CALL_TIMEOUT_S)
         if isinstance(got, CallFailed):
             reply: ClaimReply | BadMessage = BadMessage(got.reason)
@@ -165,7 +176,7 @@
 
 
 def _outcome_from_reply(reply: ClaimReply) -> Outcome | Free:
-    """What an entry told, as an outcome."""
+    """Outcome that a reply of another entry reports."""
     if reply["outcome"] == "granted":
         return Granted()
     if reply["outcome"] == "free":
@@ -176,7 +187,7 @@
 
 
 def reply_from_outcome(out: Outcome | Free) -> ClaimReply:
-    """An outcome as an entry tells it."""
+    """Reply that reports an outcome to another entry."""
     if isinstance(out, Granted):
         return ClaimReply(outcome="granted", reason="")
     if isinstance(out, Free):
--- a/ramppost/entry/claimlog.py
+++ b/ramppost/entry/claimlog.py
@@ -1,13 +1,13 @@
-"""Takes claims on callers' keys through the object API, many in one write.
+"""Takes claims on callers' keys through the object API, in group commits.
 
-Claims of a shard wait a moment for each other, then go as one group into the head
-of the shard's log (see `ramppost.policy.claims`); they wait longer while the platform
-is busy, so that more share a write.  A write whose reply is lost is read back by its
-nonce.  Where the platform can't say within `COMMIT_TIMEOUT_S`, the claims are not granted,
-and for a moment nobody waits for the next try either.
+Claims of a shard are collected for a short delay and written as one group to the head of the
+shard's log (see `ramppost.policy.claims`).  The delay grows while the platform is busy, so that
+more claims share a write.  If the reply to a write is lost, the log is read to its end and
+searched for the group's nonce.  If the platform gives no answer within `COMMIT_TIMEOUT_S`, the
+claims are not granted, and for `UNAVAILABLE_S` further claims fail at once instead of waiting.
 
-A claim that is known to stand is told at once, without the platform.  So a key
-that ran is known as such in an outage, by whoever has read the shard's log.
+A conflict with a claim that is already known is reported at once, without the platform.  During
+an outage, every entry that has read the shard's log therefore still recognizes keys that ran.
 """
 
 from __future__ import annotations
@@ -48,19 +48,19 @@
 
 
 class Granted(NamedTuple):
-    """The claim is ours, for good."""
+    """The claim is written and belongs to this entry; this is never revoked."""
 
 
 class Taken(NamedTuple):
-    """The key is claimed already."""
+    """The key is already claimed."""
 
     held: Claim
 
 
 class NoClaim(NamedTuple):
-    """The platform could not say in time.
+    """The platform gave no answer in time.
 
-    `sure` is whether the log was read before, and holds no claim of the key.
+    `sure` is whether the log was read before and had no claim of the key.
     """
 
     reason: str
@@ -68,14 +68,14 @@
 
 
 class Free(NamedTuple):
-    """No claim of the key stands."""
+    """The log has no claim of the key."""
 
 
 Outcome = Granted | Taken | NoClaim
 
 
 class WriteResult(Enum):
-    """What became of a write: it stands, it may not, or the platform had no room for it."""
+    """Result of a write: stored, not known to be stored, or refused because the platform is busy."""
 
     DONE = "done"
     IN_DOUBT = "doubt"
@@ -95,7 +95,7 @@
 
 
 def _first_per_key(group: list[_PendingClaim]) -> list[_PendingClaim]:
-    """The first of each key; the others hear of it only once it is written."""
+    """The first claim of each key; later ones are resolved only after it is written."""
     first: dict[str, _PendingClaim] = {}
     for pending in group:
         first.setdefault(pending.claim["key"], pending)
@@ -103,7 +103,7 @@
 
 
 class ClaimLog:
-    """The claims this entry knows of, and those on their way."""
+    """The claims read from or written to the shards' logs, and those that wait to be written."""
 
     def __init__(self, client: Client, window_s: float, retention_s: float = RETENTION_S) -> None:
         self.client = client
@@ -119,13 +119,13 @@
         self.unavailable_until = 0.0
 
     def known_conflict(self, claim: Claim) -> Taken | None:
-        """What is known, without asking, to stand against a claim."""
+        """The conflicting claim, if one is known without reading the log."""
         state = self.shards.get(shard_of(claim["key"]))
         found = state.conflicting_claim(claim) if state else None
         return Taken(found) if found is not None else None
 
     async def claim(self, claim: Claim) -> Outcome:
-        """Take a claim; the outcome is final."""
+        """Take a claim and return the final outcome."""
         taken = self.known_conflict(claim)
         if taken is not None:
             return taken
@@ -144,7 +144,7 @@
         return NoClaim(reason, shard_of(claim["key"]) in self.shards)
 
     async def lookup(self, key: str) -> Taken | Free | NoClaim:
-        """Whether a claim of a key stands, by the log as it was a moment ago at most."""
+        """Look up the claim of a key in the log, read at most `MAX_READ_AGE_S` ago if possible."""
         shard = shard_of(key)
         if clock.now() - self.read_at.get(shard, -MAX_READ_AGE_S) >= MAX_READ_AGE_S:
             await self.read_shard(shard)
@@ -155,13 +155,13 @@
         return Taken(found) if found is not None else Free()
 
     async def read_shard(self, shard: int) -> bool:
-        """Read a shard's log to its end; false where the platform can't be read."""
+        """Read a shard's log to its end; false if the platform can't be read."""
         state = await self._load(shard)
         return state is not None and await self._catch_up(shard, state) is not None
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is on its way."""
+        """Whether no claim is waiting to be written."""
         return not self.writing_shards
 
     async def _enqueue(self, pending: _PendingClaim) -> None:
@@ -172,7 +172,7 @@
             await curio.spawn(self._write_shard, shard, daemon=True)
 
     async def _write_shard(self, shard: int) -> None:
-        """Write groups of a shard until none waits."""
+        """Write the claims of a shard in groups until none is queued."""
         while self.queues.get(shard):
             await curio.sleep(self.group_delay_s)
             group = self.queues[shard][:MAX_GROUP_CLAIMS]
@@ -183,25 +183,31 @@
         self.writing_shards.discard(shard)
 
     async def _fail_undecided(self, shard: int, group: list[_PendingClaim]) -> None:
-        """Tell those of a group who are undecided that there is no claim.
+        """Fail the claims of a group that have no outcome yet, and queued ones past their deadline.
 
-        Those who are in line again go on waiting, if their time is not up.
+        Claims of the group that were queued again keep waiting until their deadline.
         """
         now = clock.now()
-        waiting = set(self.queues[shard])
-        lost = [p for p in group if p.outcome is None and p not in waiting]
-        late = [p for p in self.queues[shard] if p.deadline <= now]
+        queued = set(self.queues[shard])
+        unanswered = [p for p in group if p.outcome is None and p not in queued]
+        expired = [p for p in self.queues[shard] if p.deadline <= now]
         self.queues[shard] = [p for p in self.queues[shard] if p.deadline > now]
-        if lost:
+        if unanswered:
             self.unavailable_until = now + UNAVAILABLE_S
-        if lost or late:
-            logger.warning("{} claims not taken: no answer in time", len(lost) + len(late))
-        for pending in (*lost, *late):
+        if unanswered or expired:
+            logger.warning(
+                "{} claims not taken: no answer in time",
+                len(unanswered) + len(expired),
+            )
+        for pending in (*unanswered, *expired):
             reason = "the platform gave no answer in time"
             await pending.resolve(self._no_claim(pending.claim, reason))
 
     async def _commit_group(self, shard: int, group: list[_PendingClaim]) -> None:
-        """Write a group until it is stored, all of it is taken, or it must be queued again."""
+        """Retry writing a group until it is stored, or queue it again if the platform is busy.
+
+        Claims that conflict with stored ones are rejected before each try.
+        """
         nonce = secrets.token_hex(8)
         while (state := await self._load(shard)) is not None:
             group = await self._reject_conflicting(state, group)
@@ -227,7 +233,7 @@
     async def _write_group(
         self, shard: int, state: Shard, nonce: str, claims: list[Claim]
     ) -> WriteResult:
-        """Add a group at the log's end."""
+        """Try once to append a group to the log, closing the head first if it is full."""
         head, version = state.head, state.head_version
         segment = state.next_head(nonce, claims)
         full = segment["seq"] > head["seq"]
@@ -245,7 +251,7 @@
         if isinstance(out, Unavailable):
             if out.rate_limited:
                 return WriteResult.BUSY
-            logger.info("claims of shard {} in doubt: {}", shard, out.reason)
+            logger.info("write of claims to shard {} in doubt: {}", shard, out.reason)
             await curio.sleep(RETRY_S)
         nonces = await self._catch_up(shard, state)
         return WriteResult.DONE if nonces is not None and nonce in nonces else WriteResult.IN_DOUBT
@@ -253,7 +259,7 @@
     async def _reject_conflicting(
         self, state: Shard, group: list[_PendingClaim]
     ) -> list[_PendingClaim]:
-        """Those of a group that no written claim stands against."""
+        """Reject claims that conflict with written ones; return the others."""
         free: list[_PendingClaim] = []
         for pending in group:
             held = state.conflicting_claim(pending.claim)
@@ -264,9 +270,10 @@
         return free
 
     async def _catch_up(self, shard: int, state: Shard) -> set[str] | None:
-        """Read on to the log's end; nonces of the groups read, None if that can't be done.
+        """Read the log from the known head to its end; nonces of the groups read, None on failure.
 
-        Where segments to be read are deleted already, the shard is read anew next time.
+        If a segment on the way was already deleted, the shard's state is dropped, so that the log
+        is read from its start next time.
         """
         got = await get(self.client, head_key(shard), ClaimSegment)
         if isinstance(got, Unavailable):
@@ -286,7 +293,7 @@
         return nonces
 
     async def _load(self, shard: int) -> Shard | None:
-        """The shard's state, read from the platform the first time."""
+        """The shard's state, read from the platform if it is not in memory."""
         if shard in self.shards:
             return self.shards[shard]
         state = Shard()
@@ -308,10 +315,11 @@
                     state.add_closed_segment(segment, clock.now())
 
     async def expire(self, shard: int) -> int:
-        """Delete closed segments that were seen long ago by this process; how many.
+        """Delete closed segments that this process read more than `retention_s` ago; how many.
 
-        Ages are by this process's own clock since it read them: a clock that jumps
-        must not make claims old, here or at their writers.
+        The age is the time since this process read the segment, on its own clock, and not a time
+        stored by the writer.  A wrong or jumping clock, here or at a writer, must not make claims
+        expire early.
         """
         state = self.shards.get(shard)
         deleted = 0
