--- a/ramppost/entry/claimlog.py
+++ b/ramppost/entry/claimlog.py
@@ -75,7 +75,7 @@
 
 
 class WriteResult(Enum):
-    """Result of a write: stored, not known to be stored, or refused because the platform is busy."""
+    """Result of a write: stored, not known to be stored, or refused by a busy platform."""
 
     DONE = "done"
     IN_DOUBT = "doubt"
