--- a/ramppost/entry/changes.py
+++ b/ramppost/entry/changes.py
@@ -1,8 +1,8 @@
-"""Changes the configuration: one conditional update on the revision that was read.
+"""Changes the configuration by one conditional update on the version that was read.
 
-The plan's id is in the document, so a lost reply is resolved by reading.  Before
-a revision is replaced, the plan that made it is written to the history, so that
-confirming a plan again finds it however much later.
+The plan's id is stored in the document, so the outcome of an update whose reply was lost is
+determined by reading it again.  Before a revision is replaced, the plan that made it is written
+to the history, so that a repeated confirmation finds its plan however much later it comes.
 """
 
 from __future__ import annotations
@@ -24,32 +24,32 @@
 
 
 class Applied(NamedTuple):
-    """The plan is in the platform, as this revision."""
+    """The plan is stored in the platform as this revision."""
 
     revision: int
 
 
 class Stale(NamedTuple):
-    """The configuration has another revision than the one planned for."""
+    """The configuration is at another revision than the one that the plan was made for."""
 
     current: ConfigDoc
 
 
 class InDoubt(NamedTuple):
-    """No answer from the platform; `written` is false if no write was tried."""
+    """The platform gave no answer; `written` is whether a write may have reached it."""
 
     reason: str
     written: bool
 
 
 async def apply_change(
-    entry: Entry, base: int, doc: ConfigDoc, plan_id: str, by: str
+    entry: Entry, base: int, doc: ConfigDoc, plan_id: str, changed_by: str
 ) -> Applied | Stale | InDoubt:
-    """Put a new document in the place of revision `base`."""
+    """Replace revision `base` by a new document, made by plan `plan_id`."""
     new_doc = doc.copy()
     new_doc["revision"] = base + 1
     new_doc["plan_id"] = plan_id
-    new_doc["changed_by"] = by
+    new_doc["changed_by"] = changed_by
     reason, written = "", False
     for attempt in range(MAX_TRIES):
         if attempt:
@@ -63,9 +63,9 @@
         earlier = await _earlier_outcome(entry, current.value, base, plan_id)
         if earlier is not None:
             return earlier
-        history_write = await _write_history(entry, current.value)
-        if isinstance(history_write, Unavailable):
-            reason = history_write.reason
+        written_history = await _write_history(entry, current.value)
+        if isinstance(written_history, Unavailable):
+            reason = written_history.reason
             continue
         out = await put(entry.client, CONFIG_KEY, new_doc, current.version)
         if isinstance(out, Written):
@@ -79,7 +79,7 @@
 async def _earlier_outcome(
     entry: Entry, current: ConfigDoc, base: int, plan_id: str
 ) -> Applied | Stale | None:
-    """What stands against writing; None if nothing does."""
+    """Outcome if the plan was already applied or is stale; None if it can be written."""
     if current["plan_id"] == plan_id:
         entry.conf.adopt(current, "platform")
         return Applied(current["revision"])
@@ -102,14 +102,14 @@
 
 
 def history_line(doc: ConfigDoc) -> HistoryLine:
-    """The history's line of a document."""
+    """History line of a document's revision."""
     return HistoryLine(
         revision=doc["revision"], plan_id=doc["plan_id"], changed_by=doc["changed_by"]
     )
 
 
 async def read_history(entry: Entry) -> list[HistoryLine] | Unavailable:
-    """Which plan made each former revision, oldest first."""
+    """The plans that made the former revisions, oldest first."""
     lines: list[HistoryLine] = []
     after = ""
     while True:
--- a/ramppost/entry/copies.py
+++ b/ramppost/entry/copies.py
@@ -1,11 +1,11 @@
 """Copies of bill lines at an entry of another data hall, until they are in the ledger.
 
-An agent keeps a witness copy of each line it caused, but an entry prefers agents
-of its own hall, and a hall is lost as a whole.  So an entry also sends its lines,
-a moment's worth in one message, to a live entry elsewhere, which files those that
-nobody settles in time.  The ledger is a set by attempt: a line filed twice counts
-once.  Nobody waits for a copy; a line that is younger than `SEND_PERIOD_S` can
-still be lost with its hall.
+An agent keeps a witness copy of each line that it caused.  That is not enough, because an entry
+prefers agents of its own hall, and a whole hall can fail at once.  So an entry also sends its
+lines every `SEND_PERIOD_S`, in one message, to a live entry of another hall.  That entry files
+the lines that are not reported as settled in time.  The ledger is a set keyed by attempt, so a
+line that is filed twice counts once.  Copying is asynchronous: a line younger than
+`SEND_PERIOD_S` can still be lost with its hall.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class BillLineCopies:
-    """Our lines on their way to another entry, and other entries' lines here."""
+    """This entry's lines to copy to other entries, and copies received from them."""
 
     def __init__(self, upstreams: Upstreams, pool: Pool, entry_name: str, keep_s: float) -> None:
         self.upstreams = upstreams
@@ -45,23 +45,23 @@
         self.unresponsive = UnresponsiveEntries()
 
     def add(self, line: BillLine) -> None:
-        """Have a line of ours copied; the oldest go without where none can be sent."""
+        """Queue a line of this entry for copying; above `MAX_UNSENT`, the oldest is not copied."""
         self.unsent[line["attempt"]] = line
         if len(self.unsent) > MAX_UNSENT:
             del self.unsent[next(iter(self.unsent))]
 
     def add_received(self, msg: CopiesMsg) -> None:
-        """Keep another entry's lines."""
+        """Store the copies of another entry's lines."""
         for line in msg["lines"]:
             self.received[line["attempt"]] = (clock.now(), line)
 
     def drop_settled(self, attempts: list[str]) -> None:
-        """These lines are in the ledger: drop the copies."""
+        """Drop the copies of lines that are in the ledger."""
         for attempt in attempts:
             self.received.pop(attempt, None)
 
     async def notify_settled(self, lines: list[BillLine]) -> None:
-        """Our lines are in the ledger: tell who holds copies."""
+        """Notify the holders of copies that lines of this entry are in the ledger."""
         by_holder: dict[str, list[str]] = {}
         for line in lines:
             self.unsent.pop(line["attempt"], None)
@@ -73,7 +73,7 @@
             await call(self.pool, holder, "POST", SETTLED_PATH, encode(msg), CALL_TIMEOUT_S)
 
     async def run(self, filer: Filer) -> None:
-        """Send our lines, and file others' that nobody settled, until cancelled."""
+        """Send this entry's lines, and file unsettled copies, periodically until cancelled."""
         while True:
             await curio.sleep(SEND_PERIOD_S)
             if self.unsent:
@@ -81,9 +81,9 @@
             self.file_unsettled(filer, self.keep_s)
 
     def file_unsettled(self, filer: Filer, min_age_s: float) -> None:
-        """File others' lines that were kept so long; all of them where this entry stops."""
-        for attempt, (since, line) in list(self.received.items()):
-            if clock.now() - since >= min_age_s:
+        """File copies that are at least `min_age_s` old; 0 files all, for a planned stop."""
+        for attempt, (received_at, line) in list(self.received.items()):
+            if clock.now() - received_at >= min_age_s:
                 del self.received[attempt]
                 filer.add(line)
 
@@ -102,7 +102,7 @@
                 self.holder_by_attempt[line["attempt"]] = holder
 
     def _choose_holder(self) -> str | None:
-        """A live entry of another hall, by rendezvous; of this one where there is no other."""
+        """A live entry, first in rendezvous order; one of another hall if there is any."""
         own_addr = ids.address(self.entry_name)
         hall_by_addr = {box["addr"]: box["hall"] for box in self.upstreams.boxes}
         others = [
