--- a/ramppost/entry/operators.py
+++ b/ramppost/entry/operators.py
@@ -1,4 +1,4 @@
-"""The intent API: state a wish, get a plan, confirm it; and what operators look at."""
+"""The operator API: post an intent, get a plan, confirm it; status, history and reports."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 async def handle_operator_request(entry: Entry, doc: ConfigDoc, req: Request, reply: Reply) -> None:
-    """Serve an operator's request."""
+    """Serve a request of an operator, if its role allows it."""
     confirming = req.path.startswith("/v1/plans/") and req.path.endswith("/confirm")
     role = "confirm" if confirming else ROLE_BY_PATH.get(req.path)
     if role is None:
@@ -70,10 +70,10 @@
         return encode(await collect_status(entry))
     if req.path == "/v1/report":
         return encode(await collect_reports(entry))
-    found = await read_history(entry)
-    if isinstance(found, Unavailable):
-        return _platform_down(found)
-    former = [line for line in found if line["revision"] < doc["revision"]]
+    lines = await read_history(entry)
+    if isinstance(lines, Unavailable):
+        return _platform_down(lines)
+    former = [line for line in lines if line["revision"] < doc["revision"]]
     return encode([*former, history_line(doc)])
 
 
@@ -107,7 +107,7 @@
 
 
 def _request_share(entry: Entry, model: str) -> float:
-    """Share of this entry's remembered requests that went to a model."""
+    """Share of this entry's remembered requests that a model served."""
     served = entry.stats.served_requests.values()
     return sum(1 for s in served if s.mv.model == model) / len(served) if served else 0.0
 
--- a/ramppost/entry/report.py
+++ b/ramppost/entry/report.py
@@ -1,4 +1,4 @@
-"""Status and reports over all processes, asked by one entry for its operator."""
+"""Status and reports of all processes, which one entry collects for an operator."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
 
 
 def own_report(entry: Entry) -> Report:
-    """What this entry has counted."""
+    """Report of this entry's own counts."""
     stats = entry.stats
     return Report(entry=entry.name, policies=stats.policy_reports(), classes=stats.class_reports())
 
 
 async def collect_reports(entry: Entry) -> list[Report]:
-    """The reports of all entries that answer."""
-    own = ids.address(entry.name)
-    asked = [b for b in entry.upstreams.boxes if b["role"] == "entry" and b["addr"] != own]
-    tasks = [await curio.spawn(_query, entry, b["addr"], "/x/report", Report) for b in asked]
+    """Reports of all entries that answer."""
+    own_addr = ids.address(entry.name)
+    others = [b for b in entry.upstreams.boxes if b["role"] == "entry" and b["addr"] != own_addr]
+    tasks = [await curio.spawn(_query, entry, b["addr"], "/x/report", Report) for b in others]
     found = [await task.join() for task in tasks]
     return [own_report(entry), *(r for r in found if r is not None)]
 
 
 async def collect_status(entry: Entry) -> StatusReport:
-    """The revision in force at every process that the box list names."""
+    """Status of every process in the box list, with the revision in force there."""
     tasks = [await curio.spawn(_process_status, entry, box) for box in entry.upstreams.boxes]
     processes = [await task.join() for task in tasks]
     doc = entry.conf.doc
--- a/ramppost/entry/rollouts.py
+++ b/ramppost/entry/rollouts.py
@@ -1,8 +1,8 @@
-"""Drives roll-outs and takes in ratings.
+"""Evaluates running rollouts, and exchanges answers and ratings with the rating service.
 
-Every entry does the same; whoever is first writes the next step by conditional
-update, the others find it done.  Nothing is kept between: the roll-out's state
-is in the configuration, and any entry carries on from there.
+Every entry evaluates every rollout.  The first one writes the next step by a conditional update,
+and the others find it written.  The state of a rollout is in the configuration only, so any
+entry can continue it.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class RolloutProgress:
-    """A running roll-out as this entry sees it: its step, and what was counted before that."""
+    """Progress of a running rollout at this entry: its step, and the counts when the step began."""
 
     def __init__(self) -> None:
         self.step = -1
@@ -47,17 +47,19 @@
 
 
 async def run_rollouts(entry: Entry) -> None:
-    """Judge running roll-outs until cancelled."""
+    """Evaluate running rollouts periodically until cancelled."""
     progress_by_trial: dict[CountKey, RolloutProgress] = {}
     while True:
         await curio.sleep(EVALUATION_PERIOD_S)
         doc = entry.conf.doc
         running = [r for r in doc["rollouts"] if r["state"] == "running"] if doc else []
-        now = {trial_count_key(r): r for r in running}
+        rollout_by_trial = {trial_count_key(r): r for r in running}
         progress_by_trial = {
-            trial: progress for trial, progress in progress_by_trial.items() if trial in now
+            trial: progress
+            for trial, progress in progress_by_trial.items()
+            if trial in rollout_by_trial
         }
-        for trial, rollout in now.items():
+        for trial, rollout in rollout_by_trial.items():
             if trial not in progress_by_trial:
                 progress_by_trial[trial] = RolloutProgress()
                 entry.paused_trials.discard(trial.mv)
@@ -101,28 +103,31 @@
         new_doc = advance_rollout(doc, model)
     else:
         new_doc = finish_rollout(doc, model)
-    logger.info("roll-out of {}: {} ({})", model, verdict.action, verdict.reason)
+    logger.info("rollout of {}: {} ({})", model, verdict.action, verdict.reason)
     await apply_change(entry, doc["revision"], new_doc, ids.new_id("auto"), CONTROLLER_NAME)
 
 
 async def exchange_ratings(entry: Entry) -> None:
-    """Hand answers in for rating and take in late ratings, until cancelled."""
-    after = 0
-    waited_s = 0.0
+    """Submit answers for rating and read new ratings until cancelled.
+
+    Without a running rollout this is done every `IDLE_RATINGS_PERIOD_S` only.
+    """
+    last_seq = 0
+    since_exchange_s = 0.0
     platform = entry.cfg["platform"]
     while True:
         await curio.sleep(RATINGS_PERIOD_S)
-        waited_s += RATINGS_PERIOD_S
-        if not _has_running_rollout(entry) and waited_s < IDLE_RATINGS_PERIOD_S:
+        since_exchange_s += RATINGS_PERIOD_S
+        if not _has_running_rollout(entry) and since_exchange_s < IDLE_RATINGS_PERIOD_S:
             continue
-        waited_s = 0.0
+        since_exchange_s = 0.0
         if entry.unrated_answers:
             batch, entry.unrated_answers = entry.unrated_answers, []
             if not await submit_answers(entry.pool, platform, batch):
                 entry.unrated_answers = [*batch, *entry.unrated_answers][-MAX_UNRATED_ANSWERS:]
-        found = await ratings_after(entry.pool, platform, after)
+        found = await ratings_after(entry.pool, platform, last_seq)
         for rating in [] if isinstance(found, Unavailable) else found:
-            after = max(after, rating["seq"])
+            last_seq = max(last_seq, rating["seq"])
             mv = ModelVersion(rating["model"], rating["version"])
             revision = ids.revision_of(rating["request_id"])
             entry.ratings.setdefault(mv, Ratings()).add(revision, rating["score"])
@@ -130,7 +135,7 @@
 
 
 def _has_running_rollout(entry: Entry) -> bool:
-    """Whether a roll-out is under way, so that ratings are urgent."""
+    """Whether a rollout is running, so that ratings are urgent."""
     doc = entry.conf.doc
     return doc is not None and any(r["state"] == "running" for r in doc["rollouts"])
 
@@ -138,7 +143,11 @@
 def _record_rating(
     entry: Entry, request_id: str, class_name: str, mv: ModelVersion, score: float
 ) -> None:
-    """Every entry learns from every rating; policies are counted where they chose."""
+    """Record a rating of an answer.
+
+    Every entry updates its learned state from every rating; only the entry that served the
+    request counts the rating for the policy that routed it.
+    """
     entry.learned_policy_state.add_rating(class_name, mv.model, score)
     served = entry.stats.served_requests.get(request_id)
     if served is None:
