--- a/ramppost/entry/main.py
+++ b/ramppost/entry/main.py
@@ -1,4 +1,4 @@
-"""`ramppost entry`: starts the listeners, the housekeeping and the planned stop."""
+"""`ramppost entry`: runs the listeners and the background tasks, and the planned stop."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def internal_handler(entry: Entry) -> Handler:
-    """The handler of the internal listener: peers, health, metrics."""
+    """Handler of the internal listener, for peers, health checks and metrics."""
 
     async def handle(req: Request, reply: Reply) -> None:
         if req.path == CONFIG_PATH:
@@ -58,8 +58,8 @@
         elif req.path == "/metrics":
             entry.stats.claim_groups.set({}, entry.claim_log.groups_written)
             entry.stats.bills_unfiled.set({}, len(entry.filer.queue))
-            text, head = render(entry.stats.registry, [])
-            await reply.send(200, text, head["Content-Type"])
+            text, headers = render(entry.stats.registry, [])
+            await reply.send(200, text, headers["Content-Type"])
         elif req.path in ("/healthz", "/readyz"):
             await reply.send(200 if entry.ready or req.path == "/healthz" else 503, b"{}")
         else:
@@ -69,7 +69,7 @@
 
 
 async def _answer_claim(entry: Entry, msg: Claim | PeekMsg, reply: Reply) -> None:
-    """Take a claim or look a key up, as a home or deputy of its shard."""
+    """Take or look up a claim, as home or deputy of its shard."""
     if is_claim_key(msg["key"]):
         await reply.send(200, encode(reply_from_outcome(await entry.claim_homes.ask_own_log(msg))))
     else:
@@ -77,13 +77,13 @@
 
 
 async def _store_copies(entry: Entry, msg: CopiesMsg, reply: Reply) -> None:
-    """Keep another entry's bill lines until they are settled."""
+    """Store copies of another entry's bill lines until they are settled."""
     entry.copies.add_received(msg)
     await reply.send(200, b"{}")
 
 
 async def _settle_copies(entry: Entry, msg: SettledMsg, reply: Reply) -> None:
-    """Drop the lines that are in the ledger."""
+    """Drop the copies of lines that are in the ledger."""
     entry.copies.drop_settled(msg["attempts"])
     await reply.send(200, b"{}")
 
@@ -105,17 +105,17 @@
 
 
 async def run(cfg: EntrySettings, signals: Signals | None = None) -> None:
-    """Run until a signal asks for a planned stop, or until cancelled."""
+    """Run until a signal requests a planned stop, or until cancelled."""
     entry = Entry(cfg)
-    outer, inner = cfg["listen"], cfg["internal"]
+    public, internal = cfg["listen"], cfg["internal"]
     tls_cfg = cfg.get("tls")
     tls = TlsFiles(tls_cfg["cert"], tls_cfg["key"]) if tls_cfg else None
     if tls is not None:
         tls.context()
-    logger.info("entry {} of {} on {}:{}", entry.name, cfg["name"], outer["host"], outer["port"])
+    logger.info("entry {} of {} on {}:{}", entry.name, cfg["name"], public["host"], public["port"])
     limits = _limits(cfg["limits"])
-    inner_sock = listen(inner["host"], inner["port"])
-    outer_sock = listen(outer["host"], outer["port"])
+    internal_sock = listen(internal["host"], internal["port"])
+    public_sock = listen(public["host"], public["port"])
     tasks = [
         await curio.spawn(follow_platform, entry.conf, entry.client, daemon=True),
         await curio.spawn(ask_peers, entry.conf, entry.pool, lambda: _peers(entry), daemon=True),
@@ -128,7 +128,7 @@
         await curio.spawn(entry.claim_homes.follow_logs, daemon=True),
         await curio.spawn(
             serve,
-            inner_sock,
+            internal_sock,
             internal_handler(entry),
             Limits(),
             None,
@@ -138,7 +138,7 @@
         ),
         await curio.spawn(
             serve,
-            outer_sock,
+            public_sock,
             callers_handler(entry),
             limits,
             encode_bad_input,
@@ -159,13 +159,13 @@
 
 
 def _peers(entry: Entry) -> list[str]:
-    """Where to ask for a newer configuration: entries of the settings, and agents."""
+    """Addresses to ask for a newer configuration: the peers in the settings, and live agents."""
     return [*entry.cfg["peers"], *(up.addr for up in entry.upstreams.by_addr.values() if up.alive)]
 
 
 async def _stop(entry: Entry) -> None:
-    """Planned stop: no new work, running answers to their end, bills filed."""
-    logger.info("leaving: {} requests under way", entry.running_requests)
+    """Planned stop: refuse new requests, finish running ones, file bills and write claim ends."""
+    logger.info("leaving: {} requests in progress", entry.running_requests)
     entry.leaving = True
     deadline = clock.now() + entry.cfg.get("drain_s", 600.0)
     await curio.sleep(entry.cfg.get("linger_s", 3.0))
@@ -176,5 +176,7 @@
             return
         await curio.sleep(STOP_POLL_S)
     logger.warning(
-        "left with {} requests and {} bills", entry.running_requests, len(entry.filer.queue)
+        "left at the drain limit with {} requests in progress and {} bills not filed",
+        entry.running_requests,
+        len(entry.filer.queue),
     )
--- a/ramppost/entry/stats.py
+++ b/ramppost/entry/stats.py
@@ -1,6 +1,6 @@
-"""What an entry counts: policies, classes, latencies, metrics.
+"""Counts of an entry: policies, classes, latencies and metrics.
 
-All of it is lost with the box; what must last is in the ledger.
+They are kept in memory and lost with the box; durable data is in the ledger.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class ServedRequest(NamedTuple):
-    """What is remembered of a request until its rating comes."""
+    """A served request, remembered until its rating arrives."""
 
     policy: str
     class_name: str
@@ -33,7 +33,7 @@
 
 
 class ClassStats:
-    """Counts of a class of a workspace."""
+    """Outcomes and first-token latencies of a class of a workspace."""
 
     def __init__(self) -> None:
         self.window = OutcomeWindow()
@@ -41,7 +41,7 @@
 
 
 class Stats:
-    """Everything counted."""
+    """All counts and metrics of an entry."""
 
     def __init__(self) -> None:
         self.policies: dict[str, PolicyStats] = {}
@@ -80,47 +80,51 @@
             self.registry.register(metric)
 
     def policy_stats(self, name: str) -> PolicyStats:
-        """Counts of a policy by name."""
+        """Counts of a policy, created at first use."""
         return self.policies.setdefault(name, PolicyStats())
 
     def remember_served(self, request_id: str, served: ServedRequest) -> None:
-        """Remember a request until its rating comes, the latest ones only."""
+        """Remember a request for its rating; only the latest `MAX_REMEMBERED_REQUESTS` are kept."""
         self.served_requests[request_id] = served
         if len(self.served_requests) > MAX_REMEMBERED_REQUESTS:
             self.served_requests.popitem(last=False)
 
     def record_end(
-        self, workspace: str, cls: WorkClass, outcome: str, first_s: float | None
+        self, workspace: str, cls: WorkClass, outcome: str, first_token_s: float | None
     ) -> None:
-        """Count a request's end; `first_s` is the time to its first token."""
+        """Count the end of a request; `first_token_s` is the time to its first token."""
         self.requests_total.inc({"workspace": workspace, "class": cls["name"], "outcome": outcome})
-        count = self.classes.setdefault((workspace, cls["name"]), ClassStats())
+        class_stats = self.classes.setdefault((workspace, cls["name"]), ClassStats())
         self.objectives[cls["name"]] = cls
         limit_ms = cls.get("objective_ms", DEFAULT_OBJECTIVE_MS)
-        good = outcome == "served" and first_s is not None and first_s * 1000 <= limit_ms
-        count.window.add(good, time.time())
-        if first_s is not None:
-            count.first_token_ms.record_value(max(1, min(MAX_LATENCY_MS, int(first_s * 1000))))
-            self.first_token_seconds.observe({"class": cls["name"]}, first_s)
+        good = (
+            outcome == "served" and first_token_s is not None and first_token_s * 1000 <= limit_ms
+        )
+        class_stats.window.add(good, time.time())
+        if first_token_s is not None:
+            class_stats.first_token_ms.record_value(
+                max(1, min(MAX_LATENCY_MS, int(first_token_s * 1000)))
+            )
+            self.first_token_seconds.observe({"class": cls["name"]}, first_token_s)
 
     def policy_reports(self) -> list[PolicyReport]:
-        """A line for each policy, with a 95% interval of its mean rating."""
-        return [policy_report(name, count) for name, count in self.policies.items()]
+        """Report of each policy, with a 95% confidence interval of its mean rating."""
+        return [policy_report(name, stats) for name, stats in self.policies.items()]
 
     def class_reports(self) -> list[ClassReport]:
-        """A line for each class of each workspace."""
+        """Report of each class of each workspace."""
         now = time.time()
-        lines = []
-        for (workspace, name), count in self.classes.items():
-            share = self.objectives[name].get("objective_share", DEFAULT_OBJECTIVE_SHARE)
-            window = count.window
-            line = class_report(
+        reports = []
+        for (workspace, name), stats in self.classes.items():
+            objective = self.objectives[name].get("objective_share", DEFAULT_OBJECTIVE_SHARE)
+            window = stats.window
+            report = class_report(
                 WorkspaceClass(workspace, name),
                 window,
-                share,
+                objective,
                 now,
-                float(count.first_token_ms.get_value_at_percentile(50)),
-                float(count.first_token_ms.get_value_at_percentile(99)),
+                float(stats.first_token_ms.get_value_at_percentile(50)),
+                float(stats.first_token_ms.get_value_at_percentile(99)),
             )
-            lines.append(line)
-        return lines
+            reports.append(report)
+        return reports
