--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -22,7 +22,7 @@
 from loguru import logger
 
 from ramppost import clock
-from ramppost.confsync import ConfState
+from ramppost.confsync import ConfigState
 from ramppost.policy.choice import AgentView, rank_agents
 from ramppost.policy.claims import Shard
 from ramppost.policy.permissions import workspace_by_token
@@ -288,8 +288,8 @@
     token = mint_token(keys, session)
     small, large = doc_of(10), doc_of(210)
     raw_small, raw_large = encode(small), encode(large)
-    adopt_small = timed(lambda: ConfState().adopt(decode_doc(raw_small), "x"), 20)
-    adopt_large = timed(lambda: ConfState().adopt(decode_doc(raw_large), "x"), 20)
+    adopt_small = timed(lambda: ConfigState().adopt(decode_doc(raw_small), "x"), 20)
+    adopt_large = timed(lambda: ConfigState().adopt(decode_doc(raw_large), "x"), 20)
     rng = random.Random(1)
     seen = [AgentView(f"10.0.0.{i}:1", "bole", 1, 2, 0.0, 8) for i in range(26)]
     return [
--- a/ramppost/agent/door.py
+++ b/ramppost/agent/door.py
@@ -13,7 +13,7 @@
 from ramppost.agent.attempts import Attempt
 from ramppost.agent.runner import refusal_now, take_in
 from ramppost.agent.state import Agent
-from ramppost.confsync import CONFIG_PATH, fetch
+from ramppost.confsync import CONFIG_PATH, fetch_config
 from ramppost.schema.messages import (
     AgentStatus,
     AttachMsg,
@@ -45,7 +45,7 @@
         elif req.path == "/a/status":
             await with_message(req, reply, StatusMsg, lambda msg: _status(agent, msg, reply))
         elif req.path == CONFIG_PATH:
-            await send_config(agent.conf.raw, agent.conf.rev, req, reply)
+            await send_config(agent.conf.encoded, agent.conf.rev, req, reply)
         elif req.path == USAGE_PATH:
             await reply.send(200, encode(usage(agent.client, (agent.meter,))))
         elif req.path in ("/healthz", "/readyz"):
@@ -68,7 +68,7 @@
 
 async def _catch_up(agent: Agent, sender: str, rev: int) -> None:
     if rev > agent.conf.rev:
-        await fetch(agent.conf, agent.pool, ids.address(sender))
+        await fetch_config(agent.conf, agent.pool, ids.address(sender))
 
 
 async def _run(agent: Agent, msg: RunMsg, reply: Reply) -> None:
--- a/ramppost/agent/main.py
+++ b/ramppost/agent/main.py
@@ -14,7 +14,7 @@
 from ramppost.agent.plain import service_up
 from ramppost.agent.runner import cancel
 from ramppost.agent.state import Agent
-from ramppost.confsync import ask_peers, follow_platform
+from ramppost.confsync import poll_peers, watch_platform
 from ramppost.schema.settings import AgentSettings
 from ramppost.wire.server import Limits, listen, serve
 from ramppost.wire.signals import Signals
@@ -31,8 +31,8 @@
     logger.info("agent {} of {} on {}:{}", agent.name, cfg["name"], where["host"], where["port"])
     sock = listen(where["host"], where["port"])
     tasks = [
-        await curio.spawn(follow_platform, agent.conf, agent.client, daemon=True),
-        await curio.spawn(ask_peers, agent.conf, agent.pool, lambda: cfg["peers"], daemon=True),
+        await curio.spawn(watch_platform, agent.conf, agent.client, daemon=True),
+        await curio.spawn(poll_peers, agent.conf, agent.pool, lambda: cfg["peers"], daemon=True),
         await curio.spawn(_probe, agent, daemon=True),
         await curio.spawn(_housekeeping, agent, daemon=True),
         await curio.spawn(give_orders, agent, daemon=True),
--- a/ramppost/agent/orders.py
+++ b/ramppost/agent/orders.py
@@ -39,7 +39,7 @@
         await curio.sleep(PERIOD_S)
         now = clock.now()
         doc = agent.conf.doc
-        if doc is None or not agent.up or now - agent.conf.heard_at > FRESH_S:
+        if doc is None or not agent.up or now - agent.conf.last_contact_at > FRESH_S:
             continue
         served: set[ModelVersion] = {parse_model(text) for text in agent.versions}
         due = orders_due(doc, served)
--- a/ramppost/agent/state.py
+++ b/ramppost/agent/state.py
@@ -4,8 +4,8 @@
 
 from ramppost import clock, ids
 from ramppost.agent.attempts import Attempts
-from ramppost.confsync import ConfState
-from ramppost.ledger import Filer
+from ramppost.confsync import ConfigState
+from ramppost.ledger import LedgerWriter
 from ramppost.platform.objects import Client
 from ramppost.policy.admission import Admission
 from ramppost.policy.pace import Timing, TimingBaseline
@@ -23,16 +23,16 @@
     def __init__(self, cfg: AgentSettings) -> None:
         self.cfg = cfg
         where = cfg["listen"]
-        self.name = ids.incarnation(cfg.get("advertise", f"{where['host']}:{where['port']}"))
+        self.name = ids.new_incarnation(cfg.get("advertise", f"{where['host']}:{where['port']}"))
         self.pool = Pool(where["host"])
         self.client = Client(cfg["platform"], self.pool)
-        self.conf = ConfState()
+        self.conf = ConfigState()
         self.keep_s = cfg.get("keep_s", 600.0)
         self.attempts = Attempts(self.keep_s, cfg.get("keep_mb", 64) * 1_000_000)
         upstream = cfg["upstream"]
         reserved = upstream.get("reserved", 0)
         self.admission = Admission(upstream["slots"], cfg.get("queue", 64), reserved)
-        self.filer = Filer(self.client, self.name, 1.0, self._filed)
+        self.filer = LedgerWriter(self.client, self.name, 1.0, self._filed)
         self.witness: dict[str, tuple[float, BillLine]] = {}
         self.counts: dict[CountKey, OutcomeCounts] = {}
         self.paces: dict[str, TimingBaseline] = {}
@@ -50,7 +50,7 @@
     @property
     def ticket(self) -> str:
         """What an entry must name in a run message."""
-        return ids.ticket(self.name, self.epoch)
+        return ids.format_ticket(self.name, self.epoch)
 
     def admits(self, text: str) -> bool:
         """Whether a ticket is ours and of this epoch or the one before."""
--- a/ramppost/cli/run.py
+++ b/ramppost/cli/run.py
@@ -11,7 +11,7 @@
 from ramppost.dev import FIRST_PORT, LAST_PORT, run_dev
 from ramppost.gateway.main import main as run_gateway
 from ramppost.programs import run_program
-from ramppost.settings import Bad, check_file, load_settings
+from ramppost.settings import InvalidFile, check_file, load_settings
 
 BAD_SETTINGS = 2
 SETTINGS = option("settings", "s", "Settings file, JSON with comments.", flag=False)
@@ -23,7 +23,7 @@
         command.line_error("--settings FILE is needed")
         return BAD_SETTINGS
     cfg: Any = load_settings(Path(path), wanted)
-    if isinstance(cfg, Bad):
+    if isinstance(cfg, InvalidFile):
         for line in cfg.lines:
             command.line_error(line)
         return BAD_SETTINGS
--- a/ramppost/confsync.py
+++ b/ramppost/confsync.py
@@ -19,7 +19,7 @@
 from ramppost.platform.objects import Client, Unavailable, watch
 from ramppost.schema.config import ConfigDoc
 from ramppost.wire.client import CallFailed, Pool
-from ramppost.wire.client import fetch as fetch_whole
+from ramppost.wire.client import fetch as http_fetch
 from ramppost.wire.codec import BadMessage, decode, encode
 
 CONFIG_PREFIX: Final = "config/"
@@ -34,18 +34,18 @@
 Adopted = Callable[[ConfigDoc], None]
 
 
-class ConfState:
+class ConfigState:
     """The configuration in force in this process."""
 
     def __init__(self) -> None:
         self.doc: ConfigDoc | None = None
-        self.raw = b""
-        self.on_adopt: list[Adopted] = []
-        self.heard_at = float("-inf")
+        self.encoded = b""
+        self.adopt_listeners: list[Adopted] = []
+        self.last_contact_at = float("-inf")
 
-    def heard(self) -> None:
+    def record_contact(self) -> None:
         """The platform or a peer has just told of its revision."""
-        self.heard_at = clock.now()
+        self.last_contact_at = clock.now()
 
     @property
     def rev(self) -> int:
@@ -57,14 +57,14 @@
         if doc["revision"] <= self.rev:
             return False
         self.doc = doc
-        self.raw = encode(doc)
+        self.encoded = encode(doc)
         logger.info("configuration revision {} in force, from {}", doc["revision"], source)
-        for listener in self.on_adopt:
+        for listener in self.adopt_listeners:
             listener(doc)
         return True
 
 
-async def follow_platform(state: ConfState, client: Client) -> None:
+async def watch_platform(state: ConfigState, client: Client) -> None:
     """Watch the platform until cancelled."""
     since = 0
     wait_s = BACKOFF_MIN_S
@@ -75,7 +75,7 @@
             wait_s = min(BACKOFF_MAX_S, wait_s * 2)
             continue
         wait_s = BACKOFF_MIN_S
-        state.heard()
+        state.record_contact()
         for item in found["items"]:
             since = max(since, item["version"])
             doc = decode(encode(item["value"]), ConfigDoc)
@@ -85,25 +85,25 @@
                 state.adopt(doc, "platform")
 
 
-async def ask_peers(state: ConfState, pool: Pool, peers: Callable[[], list[str]]) -> None:
+async def poll_peers(state: ConfigState, pool: Pool, peers: Callable[[], list[str]]) -> None:
     """Ask a random peer for a newer revision now and then, and all of them at birth."""
     while state.doc is None:
         for addr in peers():
-            await fetch(state, pool, addr)
+            await fetch_config(state, pool, addr)
         await curio.sleep(BACKOFF_MIN_S if state.doc is None else 0)
     while True:
         await curio.sleep(PEER_PERIOD_S * random.uniform(0.75, 1.25))
         known = peers()
         if known:
-            await fetch(state, pool, random.choice(known))
+            await fetch_config(state, pool, random.choice(known))
 
 
-async def fetch(state: ConfState, pool: Pool, addr: str) -> bool:
+async def fetch_config(state: ConfigState, pool: Pool, addr: str) -> bool:
     """Fetch what an address has if it is newer; true if it was put in force."""
     path = f"{CONFIG_PATH}?rev={state.rev}"
-    got = await fetch_whole(pool, addr, "GET", path, timeout_s=PEER_TIMEOUT_S)
+    got = await http_fetch(pool, addr, "GET", path, timeout_s=PEER_TIMEOUT_S)
     if not isinstance(got, CallFailed) and got.status in (200, 304):
-        state.heard()
+        state.record_contact()
     if isinstance(got, CallFailed) or got.status != 200:
         return False
     doc = decode(got.body, ConfigDoc)
--- a/ramppost/dev.py
+++ b/ramppost/dev.py
@@ -10,7 +10,7 @@
 import curio
 
 from ramppost import logs
-from ramppost.programs import RUNS, run_loop
+from ramppost.programs import PROGRAM_MAINS, run_loop
 from ramppost.standin.fleet import DEV, ENTRY_PORTS, OPERATOR_TOKEN, build, token_of
 from ramppost.wire.client import Answer, Pool, call
 from ramppost.wire.signals import Signals
@@ -50,7 +50,7 @@
         ]
         logs.set_up(DEV.log, "dev")
         for cfg in (cfg for group in groups for cfg in group.values()):
-            await curio.spawn(RUNS[cfg["program"]], cfg, daemon=True)
+            await curio.spawn(PROGRAM_MAINS[cfg["program"]], cfg, daemon=True)
         where = fleet.entries["entry-1"]["listen"]
         addr = f"{where['host']}:{where['port']}"
         await _ready(addr, token_of("mesob"))
--- a/ramppost/entry/copies.py
+++ b/ramppost/entry/copies.py
@@ -17,7 +17,7 @@
 from ramppost import clock, ids
 from ramppost.entry.unresponsive import UnresponsiveEntries
 from ramppost.entry.upstreams import Upstreams
-from ramppost.ledger import Filer
+from ramppost.ledger import LedgerWriter
 from ramppost.schema.messages import BillLine, CopiesMsg, SettledMsg
 from ramppost.wire.client import CallFailed, Pool, call
 from ramppost.wire.codec import encode
@@ -72,7 +72,7 @@
             msg = SettledMsg(entry=self.entry_name, attempts=attempts, rev=0)
             await call(self.pool, holder, "POST", SETTLED_PATH, encode(msg), CALL_TIMEOUT_S)
 
-    async def run(self, filer: Filer) -> None:
+    async def run(self, filer: LedgerWriter) -> None:
         """Send this entry's lines, and file unsettled copies, periodically until cancelled."""
         while True:
             await curio.sleep(SEND_PERIOD_S)
@@ -80,7 +80,7 @@
                 await self._send()
             self.file_unsettled(filer, self.keep_s)
 
-    def file_unsettled(self, filer: Filer, min_age_s: float) -> None:
+    def file_unsettled(self, filer: LedgerWriter, min_age_s: float) -> None:
         """File copies that are at least `min_age_s` old; 0 files all, for a planned stop."""
         for attempt, (received_at, line) in list(self.received.items()):
             if clock.now() - received_at >= min_age_s:
--- a/ramppost/entry/dispatch.py
+++ b/ramppost/entry/dispatch.py
@@ -14,7 +14,7 @@
 from loguru import logger
 
 from ramppost import clock, ids
-from ramppost.confsync import fetch
+from ramppost.confsync import fetch_config
 from ramppost.entry.job import ExecutionRecord, Job
 from ramppost.entry.state import Entry
 from ramppost.entry.upstreams import Upstream
@@ -224,7 +224,7 @@
     if upstream is not None:
         entry.upstreams.record_head(upstream, head)
     if head["rev"] > entry.conf.rev:
-        await fetch(entry.conf, entry.pool, addr)
+        await fetch_config(entry.conf, entry.pool, addr)
 
 
 async def read_frame(run: Running) -> Frame | ReadFailure:
--- a/ramppost/entry/job.py
+++ b/ramppost/entry/job.py
@@ -158,7 +158,7 @@
     if isinstance(session, Refusal):
         return session
     return Job(
-        request_id=ids.request_id(doc["revision"]),
+        request_id=ids.new_request_id(doc["revision"]),
         workspace=workspace,
         work_class=work_class,
         requested_version=ModelVersion("", ""),
--- a/ramppost/entry/main.py
+++ b/ramppost/entry/main.py
@@ -10,7 +10,7 @@
 
 from ramppost import clock
 from ramppost.agent.door import send_config
-from ramppost.confsync import CONFIG_PATH, ask_peers, follow_platform
+from ramppost.confsync import CONFIG_PATH, poll_peers, watch_platform
 from ramppost.entry.callers import callers_handler, encode_bad_input
 from ramppost.entry.claimhome import CLAIM_PATH, PEEK_PATH, reply_from_outcome
 from ramppost.entry.copies import COPIES_PATH, SETTLED_PATH
@@ -34,7 +34,7 @@
 
     async def handle(req: Request, reply: Reply) -> None:
         if req.path == CONFIG_PATH:
-            await send_config(entry.conf.raw, entry.conf.rev, req, reply)
+            await send_config(entry.conf.encoded, entry.conf.rev, req, reply)
         elif req.path == "/x/status":
             await _status(entry, req, reply)
         elif req.path == "/x/report":
@@ -117,8 +117,8 @@
     internal_sock = listen(internal["host"], internal["port"])
     public_sock = listen(public["host"], public["port"])
     tasks = [
-        await curio.spawn(follow_platform, entry.conf, entry.client, daemon=True),
-        await curio.spawn(ask_peers, entry.conf, entry.pool, lambda: _peers(entry), daemon=True),
+        await curio.spawn(watch_platform, entry.conf, entry.client, daemon=True),
+        await curio.spawn(poll_peers, entry.conf, entry.pool, lambda: _peers(entry), daemon=True),
         await curio.spawn(entry.upstreams.follow_box_list, cfg["platform"], daemon=True),
         await curio.spawn(entry.upstreams.poll_agents, entry.revision_ref, daemon=True),
         await curio.spawn(entry.filer.run, daemon=True),
--- a/ramppost/entry/state.py
+++ b/ramppost/entry/state.py
@@ -6,13 +6,13 @@
 from typing import Final, NamedTuple
 
 from ramppost import clock, ids
-from ramppost.confsync import ConfState
+from ramppost.confsync import ConfigState
 from ramppost.entry.claimhome import ClaimHomes
 from ramppost.entry.claimlog import ClaimLog
 from ramppost.entry.copies import KEEP_BILL_WINDOWS, MIN_KEEP_S, BillLineCopies
 from ramppost.entry.stats import Stats
 from ramppost.entry.upstreams import Upstreams
-from ramppost.ledger import Filer
+from ramppost.ledger import LedgerWriter
 from ramppost.platform.objects import Client
 from ramppost.platform.ratings import AnswerToRate
 from ramppost.policy.limits import RetryBudget, TokenBucket
@@ -45,10 +45,12 @@
     def __init__(self, cfg: EntrySettings) -> None:
         self.cfg = cfg
         internal = cfg["internal"]
-        self.name = ids.incarnation(cfg.get("advertise", f"{internal['host']}:{internal['port']}"))
+        self.name = ids.new_incarnation(
+            cfg.get("advertise", f"{internal['host']}:{internal['port']}")
+        )
         self.pool = Pool(internal["host"])
         self.client = Client(cfg["platform"], self.pool)
-        self.conf = ConfState()
+        self.conf = ConfigState()
         self.rng = random.Random()
         subset_size = cfg.get("subset", 8)
         self.upstreams = Upstreams(
@@ -58,7 +60,7 @@
         self.claim_log = ClaimLog(self.client, cfg.get("claim_window_ms", 10) / 1000)
         self.claim_homes = ClaimHomes(self.claim_log, self.upstreams, self.pool, self.name)
         window_s = cfg.get("bill_window_s", 1.0)
-        self.filer = Filer(self.client, self.name, window_s, self._on_bills_filed)
+        self.filer = LedgerWriter(self.client, self.name, window_s, self._on_bills_filed)
         keep_s = max(MIN_KEEP_S, KEEP_BILL_WINDOWS * window_s)
         self.copies = BillLineCopies(self.upstreams, self.pool, self.name, keep_s)
         self.agent_by_attempt: dict[str, str] = {}
@@ -77,7 +79,7 @@
         self.caller_meter = Meter()
         self.internal_meter = Meter()
         self.revision_ref = [0]
-        self.conf.on_adopt.append(self._on_config_adopted)
+        self.conf.adopt_listeners.append(self._on_config_adopted)
 
     def may_send_to_trial(self, rollout: Rollout) -> bool:
         """Whether this entry's part of the rollout step's "max_exposed" is not used up."""
--- a/ramppost/errors.py
+++ b/ramppost/errors.py
@@ -26,125 +26,125 @@
     retry_after_s: float = 0.0
 
 
-class CodeDoc(NamedTuple):
+class ErrorDoc(NamedTuple):
     """What the docs say of a code: status, whether it ran, meaning and mend."""
 
     status: int
     ran: Ran
     meaning: str
-    mend: str
+    remedy: str
 
 
-CATALOGUE: Final[dict[str, CodeDoc]] = {
-    "bad_request": CodeDoc(
+CATALOGUE: Final[dict[str, ErrorDoc]] = {
+    "bad_request": ErrorDoc(
         400, "no", "The request could not be read.", "Mend what the message names."
     ),
-    "unauthorized": CodeDoc(
+    "unauthorized": ErrorDoc(
         401,
         "no",
         "The bearer token is missing or unknown.",
         "Send a token of a workspace or operator.",
     ),
-    "forbidden": CodeDoc(
+    "forbidden": ErrorDoc(
         403,
         "no",
         "The workspace or operator may not do this.",
         "Ask an operator to change permissions.",
     ),
-    "not_found": CodeDoc(
+    "not_found": ErrorDoc(
         404,
         "no",
         "No such path, model, service or plan.",
         "Look at `GET /v1/models` or `ramppost status`.",
     ),
-    "withdrawn": CodeDoc(
+    "withdrawn": ErrorDoc(
         409, "no", "The version named was withdrawn.", "Name another version or the model alone."
     ),
-    "bad_session": CodeDoc(
+    "bad_session": ErrorDoc(
         400,
         "no",
         "The session token is forged, foreign or made with a dropped key.",
         "Start a session without a token.",
     ),
-    "session_ended": CodeDoc(
+    "session_ended": ErrorDoc(
         409, "no", "The session's version was withdrawn.", "Start a new session without the token."
     ),
-    "too_large": CodeDoc(
+    "too_large": ErrorDoc(
         413, "no", "Head or body is larger than allowed.", "Send less, or raise `limits`."
     ),
-    "too_slow": CodeDoc(
+    "too_slow": ErrorDoc(
         408,
         "no",
         "The request was not sent whole in time.",
         "Send faster, or raise `limits.read_timeout_s`.",
     ),
-    "limited": CodeDoc(
+    "limited": ErrorDoc(
         429,
         "no",
         "The workspace is over its tokens or concurrency.",
         "Come back after `Retry-After`.",
     ),
-    "overloaded": CodeDoc(
+    "overloaded": ErrorDoc(
         503, "no", "No upstream has room for this class now.", "Come back after `Retry-After`."
     ),
-    "no_upstream": CodeDoc(
+    "no_upstream": ErrorDoc(
         503,
         "no",
         "No live upstream serves the version.",
         "Come back after `Retry-After`; look at `ramppost status`.",
     ),
-    "not_ready": CodeDoc(
+    "not_ready": ErrorDoc(
         503,
         "no",
         "The entry has no configuration yet.",
         "Come back after `Retry-After`; another entry may serve.",
     ),
-    "leaving": CodeDoc(
+    "leaving": ErrorDoc(
         503, "no", "The entry is stopping.", "Repeat at once; the balancer picks another entry."
     ),
-    "claim_unavailable": CodeDoc(
+    "claim_unavailable": ErrorDoc(
         503,
         "no",
         "The platform can't record the caller's key, so a request that may run only once is not begun. `ran` is `unknown` where no entry can be asked that has read the claims, so that an earlier request with the key may have run.",
         "Repeat with the same key after `Retry-After`.",
     ),
-    "deadline": CodeDoc(
+    "deadline": ErrorDoc(
         504,
         "no",
         "The deadline passed before the request was begun.",
         "Come back after `Retry-After` or allow more time.",
     ),
-    "upstream_failed": CodeDoc(
+    "upstream_failed": ErrorDoc(
         502, "yes", "The upstream began the request and failed.", "Repeat if it may run twice."
     ),
-    "fatal_request": CodeDoc(
+    "fatal_request": ErrorDoc(
         502,
         "no",
         "Upstreams have ended each time that they began to run this request, so it is not run any more. `ran` is `unknown` where one ended under this very try.",
         "Don't repeat it; change the request, or mend the upstreams.",
     ),
-    "outcome_unknown": CodeDoc(
+    "outcome_unknown": ErrorDoc(
         502,
         "unknown",
         "The upstream can't be asked whether it ran.",
         "Check before repeating with a new key; the same key never runs again.",
     ),
-    "answer_lost": CodeDoc(
+    "answer_lost": ErrorDoc(
         502,
         "yes",
         "It ran, but the rest of the answer is no longer kept.",
         "Repeat with a new key if it may run twice.",
     ),
-    "stale_plan": CodeDoc(
+    "stale_plan": ErrorDoc(
         409, "no", "The configuration changed since the plan was made.", "Make a new plan."
     ),
-    "platform_down": CodeDoc(
+    "platform_down": ErrorDoc(
         503, "no", "The platform's object API gave no answer.", "Come back after `Retry-After`."
     ),
-    "bad_intent": CodeDoc(
+    "bad_intent": ErrorDoc(
         422, "no", "The wish can't be carried out.", "Mend what the message names."
     ),
-    "confirm_unknown": CodeDoc(
+    "confirm_unknown": ErrorDoc(
         503,
         "unknown",
         "The platform gave no answer to the write, so the plan may be in force.",
--- a/ramppost/ids.py
+++ b/ramppost/ids.py
@@ -24,7 +24,7 @@
     return f"{prefix}-{secrets.token_hex(10)}"
 
 
-def request_id(revision: int) -> str:
+def new_request_id(revision: int) -> str:
     """A fresh id of a request that came in at a configuration revision, `req-<rev>-<random>`."""
     return new_id(f"req-{revision}")
 
@@ -35,7 +35,7 @@
     return int(found[1]) if len(found) == 3 and found[1].isdigit() else 0
 
 
-def incarnation(addr: str) -> str:
+def new_incarnation(addr: str) -> str:
     """A fresh incarnation of the process at an address, `ip:port`."""
     return f"{addr}#{secrets.token_hex(6)}"
 
@@ -45,7 +45,7 @@
     return name.partition("#")[0]
 
 
-def ticket(name: str, epoch: int) -> str:
+def format_ticket(name: str, epoch: int) -> str:
     """A ticket as text."""
     return f"{name}.{epoch}"
 
--- a/ramppost/ledger.py
+++ b/ramppost/ledger.py
@@ -25,7 +25,7 @@
 Filed = Callable[[list[BillLine]], Awaitable[None]]
 
 
-class Filer:
+class LedgerWriter:
     """Lines on their way to the ledger."""
 
     def __init__(self, client: Client, name: str, window_s: float, filed: Filed) -> None:
--- a/ramppost/logs.py
+++ b/ramppost/logs.py
@@ -86,7 +86,7 @@
     logging.getLogger("curio").setLevel(logging.ERROR)
 
 
-def dropped() -> int:
+def dropped_lines() -> int:
     """Lines dropped so far."""
     return _output.dropped if _output is not None else 0
 
--- a/ramppost/programs.py
+++ b/ramppost/programs.py
@@ -16,7 +16,7 @@
 from ramppost.standin import engine, platform, service, store, upstream
 from ramppost.wire.signals import Signals
 
-RUNS: Final[dict[str, Callable[..., Awaitable[None]]]] = {
+PROGRAM_MAINS: Final[dict[str, Callable[..., Awaitable[None]]]] = {
     "entry": entry.run,
     "agent": agent.run,
     "standin-platform": platform.run,
@@ -38,9 +38,9 @@
     signals = Signals()
     try:
         if program in WITH_PLANNED_STOP:
-            run_loop(RUNS[program], cfg, signals)
+            run_loop(PROGRAM_MAINS[program], cfg, signals)
         else:
-            run_loop(_until_signal, RUNS[program], cfg, signals)
+            run_loop(_until_signal, PROGRAM_MAINS[program], cfg, signals)
     except OSError as exc:
         logger.critical("can't start: {}", exc)
         return 1
--- a/ramppost/settings.py
+++ b/ramppost/settings.py
@@ -30,7 +30,7 @@
 }
 
 
-class Bad(NamedTuple):
+class InvalidFile(NamedTuple):
     """Faults of a file, a line each."""
 
     lines: list[str]
@@ -44,40 +44,40 @@
     return found
 
 
-def load_settings(path: Path, wanted: str = "") -> Any | Bad:
+def load_settings(path: Path, wanted: str = "") -> Any | InvalidFile:
     """Settings of the program `wanted`, or of whichever the file names."""
     value = _parse(path)
-    if isinstance(value, Bad):
+    if isinstance(value, InvalidFile):
         return value
     program = value.get("program") if isinstance(value, dict) else None
     if not isinstance(program, str) or program not in PROGRAMS:
         names = ", ".join(PROGRAMS)
-        return Bad([f"{path}: $.program: must name a program: {names}"])
+        return InvalidFile([f"{path}: $.program: must name a program: {names}"])
     if wanted and program != wanted:
-        return Bad([f"{path}: $.program: is {program!r}; this command wants {wanted!r}"])
+        return InvalidFile([f"{path}: $.program: is {program!r}; this command wants {wanted!r}"])
     faults = _faults("settings", PROGRAMS[program], value, path.parent)
     if faults:
-        return Bad([f"{path}: {fault}" for fault in faults])
+        return InvalidFile([f"{path}: {fault}" for fault in faults])
     return _resolve_files("settings", PROGRAMS[program], value, path.parent)
 
 
-def load_config_doc(path: Path) -> Any | Bad:
+def load_config_doc(path: Path) -> Any | InvalidFile:
     """A configuration document from a file."""
     value = _parse(path)
-    if isinstance(value, Bad):
+    if isinstance(value, InvalidFile):
         return value
     faults = check_config_doc(value)
-    return Bad([f"{path}: {fault}" for fault in faults]) if faults else value
+    return InvalidFile([f"{path}: {fault}" for fault in faults]) if faults else value
 
 
 def check_file(path: Path) -> list[str]:
     """Faults of a settings file or configuration document, whichever it is."""
     value = _parse(path)
-    if isinstance(value, Bad):
+    if isinstance(value, InvalidFile):
         return value.lines
     is_doc = isinstance(value, dict) and "revision" in value and "program" not in value
     got = load_config_doc(path) if is_doc else load_settings(path)
-    return got.lines if isinstance(got, Bad) else []
+    return got.lines if isinstance(got, InvalidFile) else []
 
 
 def check_config_doc(value: Any) -> list[str]:
@@ -86,16 +86,16 @@
     return faults or _dangling(value)
 
 
-def _parse(path: Path) -> Any | Bad:
+def _parse(path: Path) -> Any | InvalidFile:
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
         reason = exc.strerror if isinstance(exc, OSError) else "not UTF-8 text"
-        return Bad([f"{path}: $: can't be read ({reason}); name a readable file"])
+        return InvalidFile([f"{path}: $: can't be read ({reason}); name a readable file"])
     try:
         return json5.loads(text, allow_duplicate_keys=False)
     except ValueError as exc:
-        return Bad([f"{path}: $: not JSON with comments: {str(exc).splitlines()[0]}"])
+        return InvalidFile([f"{path}: $: not JSON with comments: {str(exc).splitlines()[0]}"])
 
 
 def _faults(name: str, definition: str, value: Any, folder: Path) -> list[str]:
--- a/tests/harness/ablated.py
+++ b/tests/harness/ablated.py
@@ -15,9 +15,9 @@
 
 from ramppost.agent import door
 from ramppost.cli.main import main
-from ramppost.confsync import ConfState
+from ramppost.confsync import ConfigState
 from ramppost.entry import claimhome, claimlog, copies, dispatch, keyed, route, upstreams
-from ramppost.ledger import Filer
+from ramppost.ledger import LedgerWriter
 from ramppost.wire import signals
 from ramppost.wire.codec import decode
 
@@ -44,13 +44,13 @@
 
 def no_bill_identity() -> None:
     """Every filing makes a line of its own."""
-    add = Filer.add
+    add = LedgerWriter.add
     count = iter(range(10**9))
 
-    def counted(self: Filer, line: Any) -> None:
+    def counted(self: LedgerWriter, line: Any) -> None:
         add(self, line | {"attempt": f"{line['attempt']}/{self.name}/{next(count)}"})
 
-    Filer.add = counted  # type: ignore[method-assign]
+    LedgerWriter.add = counted  # type: ignore[method-assign]
 
 
 def no_witness() -> None:
@@ -93,29 +93,29 @@
         return False
 
     door._catch_up = nothing  # type: ignore[assignment]
-    dispatch.fetch = nothing  # type: ignore[assignment]
+    dispatch.fetch_config = nothing  # type: ignore[assignment]
     from ramppost.agent import main as agent_main
     from ramppost.entry import main as entry_main
 
     async def sleep(*args: Any) -> None:
         await curio.sleep(1e6)
 
-    agent_main.ask_peers = sleep  # type: ignore[assignment]
-    entry_main.ask_peers = sleep  # type: ignore[assignment]
+    agent_main.poll_peers = sleep  # type: ignore[assignment]
+    entry_main.poll_peers = sleep  # type: ignore[assignment]
 
 
 def reverting() -> None:
     """A process takes any revision it is shown."""
 
-    def adopt(self: ConfState, doc: Any, source: str) -> bool:
+    def adopt(self: ConfigState, doc: Any, source: str) -> bool:
         from ramppost.wire.codec import encode
 
-        self.doc, self.raw = doc, encode(doc)
-        for listener in self.on_adopt:
+        self.doc, self.encoded = doc, encode(doc)
+        for listener in self.adopt_listeners:
             listener(doc)
         return True
 
-    ConfState.adopt = adopt  # type: ignore[method-assign]
+    ConfigState.adopt = adopt  # type: ignore[method-assign]
 
 
 def no_sessions() -> None:
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -6,7 +6,7 @@
 
 from ramppost.entry.copies import BillLineCopies
 from ramppost.entry.upstreams import Upstreams
-from ramppost.ledger import Filer
+from ramppost.ledger import LedgerWriter
 from ramppost.platform.objects import Client
 from ramppost.schema.messages import BillLine, CopiesMsg
 from ramppost.wire.client import Pool
@@ -25,7 +25,9 @@
     copies = BillLineCopies(
         Upstreams("e", "h", ME, pool, 8, random.Random()), pool, ME, keep_s=60.0
     )
-    filer = Filer(Client("127.0.0.1:1", pool), ME, 1.0, lambda lines: copies.notify_settled(lines))
+    filer = LedgerWriter(
+        Client("127.0.0.1:1", pool), ME, 1.0, lambda lines: copies.notify_settled(lines)
+    )
     copies.add_received(CopiesMsg(entry="other", lines=[line("settled"), line("unsettled")]))
     copies.drop_settled(["settled"])
     copies.file_unsettled(filer, 60.0)
--- a/tools/write_reference.py
+++ b/tools/write_reference.py
@@ -67,7 +67,7 @@
         "|---|---|---|---|---|",
     ]
     for code, doc in CATALOGUE.items():
-        parts.append(f"| `{code}` | {doc.status} | {doc.ran} | {doc.meaning} | {doc.mend} |")
+        parts.append(f"| `{code}` | {doc.status} | {doc.ran} | {doc.meaning} | {doc.remedy} |")
     return "\n".join(parts) + "\n"
 
 
