--- a/ramppost/audit/checks.py
+++ b/ramppost/audit/checks.py
@@ -62,7 +62,10 @@
 
 
 def end_check() -> Check:
-    """Returns the check that a request ends once, and as "not run" only if none may have run."""
+    """Returns the check of the ends of requests.
+
+    A request must end once, and as "not run" only if none of its attempts may have run.
+    """
     name = "one end"
     open_requests: dict[tuple[str, str], _OpenRequest] = {}
     ended: dict[str, str] = {}
@@ -110,7 +113,7 @@
         for program in sorted({program for program, _ in open_requests}):
             yield from close_unended(program)
 
-    promise = 'a request ends once, and as "not run" only if no attempt may have run'
+    promise = 'a request has one end, which says "not run" only where nothing may have run'
     return Check(name, promise, handle_event, finish)
 
 
@@ -144,7 +147,7 @@
         what = f"sent to {event.upstream} {delay_s:.2f} s after it was known to be fatal"
         yield Finding(name, "broken", event.program, event.at, event.request, what)
 
-    promise = "no attempt is made of a request that is known to crash upstreams"
+    promise = "no attempt is made of a request that is known to end upstreams"
     return Check(name, promise, handle_event, lambda: ())
 
 
--- a/ramppost/audit/confirmed.py
+++ b/ramppost/audit/confirmed.py
@@ -71,7 +71,7 @@
             if newer is not None and latest.confirmed_at > newer.at + LOG_PRECISION_S:
                 yield _finding(name, latest, newer, max_clock_skew_s)
 
-    promise = "no process considers a configuration the newest after a newer one was in force"
+    promise = "no process knows a configuration to be the newest after a newer one was in force"
     return Check(name, promise, handle_event, finish)
 
 
--- a/ramppost/audit/departed.py
+++ b/ramppost/audit/departed.py
@@ -133,5 +133,5 @@
         else:
             yield Finding(name, "broken", *origin, what)
 
-    promise = "no attempt is sent to an upstream that is known to be leaving or gone"
+    promise = "no attempt goes to an upstream that is known to leave or to be gone"
     return Check(name, promise, handle_event, lambda: ())
--- a/ramppost/audit/evacuated.py
+++ b/ramppost/audit/evacuated.py
@@ -59,5 +59,5 @@
         else:
             yield Finding(name, "broken", *origin, what)
 
-    promise = "no attempt is sent to a data hall that is known to be evacuated"
+    promise = "no attempt goes to a data hall that is known to be evacuated"
     return Check(name, promise, handle_event, lambda: ())
--- a/ramppost/cli/audit.py
+++ b/ramppost/cli/audit.py
@@ -69,7 +69,7 @@
     def _print(self, result: Audit) -> None:
         self.line(f"{result.lines} lines of {result.programs} processes, {result.events} events")
         if result.unreadable:
-            self.line(f"{result.unreadable} are not log lines, first {result.first_unreadable}")
+            self.line(f"{result.unreadable} are no log lines, first {result.first_unreadable}")
         if not result.events:
             self.line("nothing that could be checked")
         for check in result.checks:
