--- a/ramppost/__init__.py
+++ b/ramppost/__init__.py
@@ -2,7 +2,7 @@
 
 Start reading at `ramppost.cli.main`; one request then goes through
 `ramppost.entry.callers`, `ramppost.entry.serve`, `ramppost.entry.dispatch` and
-`ramppost.agent.door` to an upstream and back.
+`ramppost.agent.handler` to an upstream and back.
 """
 
 __version__ = "0.1.0"
--- a/ramppost/agent/door.py
+++ b/ramppost/agent/handler.py
@@ -25,25 +25,25 @@
 )
 from ramppost.usage import USAGE_PATH, usage
 from ramppost.wire.codec import encode, encode_line
-from ramppost.wire.messages import with_message
+from ramppost.wire.messages import handle_message
 from ramppost.wire.server import Handler, Reply, Request
 
 NDJSON = "application/x-ndjson"
 HeadOutcome = Literal["admitted", "not_run", "unknown"]
 
 
-def door(agent: Agent) -> Handler:
+def agent_handler(agent: Agent) -> Handler:
     """The handler of an agent's listener."""
 
     async def handle(req: Request, reply: Reply) -> None:
         if req.path == "/a/run":
-            await with_message(req, reply, RunMsg, lambda msg: _run(agent, msg, reply))
+            await handle_message(req, reply, RunMsg, lambda msg: _run(agent, msg, reply))
         elif req.path == "/a/attach":
-            await with_message(req, reply, AttachMsg, lambda msg: _attach(agent, msg, reply))
+            await handle_message(req, reply, AttachMsg, lambda msg: _attach(agent, msg, reply))
         elif req.path == "/a/settled":
-            await with_message(req, reply, SettledMsg, lambda msg: _settled(agent, msg, reply))
+            await handle_message(req, reply, SettledMsg, lambda msg: _settled(agent, msg, reply))
         elif req.path == "/a/status":
-            await with_message(req, reply, StatusMsg, lambda msg: _status(agent, msg, reply))
+            await handle_message(req, reply, StatusMsg, lambda msg: _status(agent, msg, reply))
         elif req.path == CONFIG_PATH:
             await send_config(agent.conf.encoded, agent.conf.rev, req, reply)
         elif req.path == USAGE_PATH:
@@ -66,13 +66,13 @@
         await reply.send(304, b"")
 
 
-async def _catch_up(agent: Agent, sender: str, rev: int) -> None:
+async def _fetch_newer_config(agent: Agent, sender: str, rev: int) -> None:
     if rev > agent.conf.rev:
         await fetch_config(agent.conf, agent.pool, ids.address(sender))
 
 
 async def _run(agent: Agent, msg: RunMsg, reply: Reply) -> None:
-    await _catch_up(agent, msg["entry"], msg["rev"])
+    await _fetch_newer_config(agent, msg["entry"], msg["rev"])
     item = agent.attempts.get(msg["attempt"])
     if item is None:
         if not agent.admits(msg["agent"]):
@@ -91,7 +91,7 @@
 
 
 async def _attach(agent: Agent, msg: AttachMsg, reply: Reply) -> None:
-    await _catch_up(agent, msg["entry"], msg["rev"])
+    await _fetch_newer_config(agent, msg["entry"], msg["rev"])
     item = agent.attempts.get(msg["attempt"])
     if item is not None:
         await _follow(agent, item, msg["from_frame"], reply)
@@ -177,7 +177,7 @@
 
 
 async def _status(agent: Agent, msg: StatusMsg, reply: Reply) -> None:
-    await _catch_up(agent, msg["entry"], msg["rev"])
+    await _fetch_newer_config(agent, msg["entry"], msg["rev"])
     state: Literal["live", "leaving", "down"] = "live" if agent.up else "down"
     status = AgentStatus(
         agent=agent.ticket,
--- a/ramppost/agent/main.py
+++ b/ramppost/agent/main.py
@@ -8,11 +8,11 @@
 from loguru import logger
 
 from ramppost import clock
-from ramppost.agent.door import door
 from ramppost.agent.engine import versions_of
+from ramppost.agent.handler import agent_handler
 from ramppost.agent.orders import give_orders
-from ramppost.agent.plain import service_up
 from ramppost.agent.runner import cancel
+from ramppost.agent.service import service_up
 from ramppost.agent.state import Agent
 from ramppost.confsync import poll_peers, watch_platform
 from ramppost.schema.settings import AgentSettings
@@ -37,7 +37,9 @@
         await curio.spawn(_housekeeping, agent, daemon=True),
         await curio.spawn(give_orders, agent, daemon=True),
         await curio.spawn(agent.filer.run, daemon=True),
-        await curio.spawn(serve, sock, door(agent), Limits(), None, None, agent.meter, daemon=True),
+        await curio.spawn(
+            serve, sock, agent_handler(agent), Limits(), None, None, agent.meter, daemon=True
+        ),
     ]
     try:
         if signals is None:
--- a/ramppost/agent/orders.py
+++ b/ramppost/agent/orders.py
@@ -26,7 +26,7 @@
 
 PERIOD_S: Final = 0.5
 FRESH_S: Final = 6.0
-AGAIN_S: Final = 5.0
+REORDER_DELAY_S: Final = 5.0
 SPREAD_S: Final = 2.0
 
 
@@ -56,6 +56,6 @@
     out = await order_load(agent.pool, agent.cfg["upstream"]["addr"], order)
     if isinstance(out, OrderRefused):
         logger.info("order to load {} not taken: {}", order.mv.text, out.reason)
-        return max(AGAIN_S * random.uniform(0.5, 1.0), out.retry_after_s)
+        return max(REORDER_DELAY_S * random.uniform(0.5, 1.0), out.retry_after_s)
     logger.info("ordered to load {} under fence {}", order.mv.text, order.fence)
-    return AGAIN_S
+    return REORDER_DELAY_S
--- a/ramppost/agent/runner.py
+++ b/ramppost/agent/runner.py
@@ -10,7 +10,7 @@
 from ramppost import clock
 from ramppost.agent.attempts import Attempt
 from ramppost.agent.engine import Broke, Lost, NotBegun, Ran, cancel_run, run_engine
-from ramppost.agent.plain import Answered, run_service
+from ramppost.agent.service import Answered, run_service
 from ramppost.agent.state import Agent
 from ramppost.policy.admission import LOWEST_PRIORITY, Queued, QueuedRequest, Rejected
 from ramppost.policy.pace import Timing
@@ -145,7 +145,7 @@
     agent.count(mv, OutcomeCounts(ok=1, slow=int(agent.slow(mv, pace.timing()))))
     state = "cancelled" if item.cancelled or out.finish == "cancelled" else "done"
     cost = out.tokens_out * agent.price(msg["model"]) / TOKENS_PER_PRICE
-    _witness(agent, item, msg, out.tokens_out, cost)
+    _keep_bill(agent, item, msg, out.tokens_out, cost)
     await item.finish(_ended(state, out, cost))
 
 
@@ -159,12 +159,12 @@
         await item.finish(_end("lost" if isinstance(out, Lost) else "failed", out.reason))
         return
     assert isinstance(out, Answered)
-    _witness(agent, item, msg, 0, 0.0)
+    _keep_bill(agent, item, msg, 0, 0.0)
     await item.add(out.body)
     await item.finish(_end("done", "", status=out.status, content_type=out.content_type))
 
 
-def _witness(agent: Agent, item: Attempt, msg: RunMsg, tokens: int, cost: float) -> None:
+def _keep_bill(agent: Agent, item: Attempt, msg: RunMsg, tokens: int, cost: float) -> None:
     """Keep the bill until the entry says that it is in the ledger."""
     line = BillLine(
         request_id=msg["request_id"],
--- a/ramppost/dev.py
+++ b/ramppost/dev.py
@@ -12,7 +12,7 @@
 from ramppost import logs
 from ramppost.programs import PROGRAM_MAINS, run_loop
 from ramppost.standin.fleet import DEV, ENTRY_PORTS, OPERATOR_TOKEN, build, token_of
-from ramppost.wire.client import Answer, Pool, call
+from ramppost.wire.client import Pool, Response, call
 from ramppost.wire.signals import Signals
 
 READY_POLL_S: Final = 0.1
@@ -68,7 +68,7 @@
     head = (("authorization", f"Bearer {token}"), ("content-type", "application/json"))
     while True:
         got = await call(pool, addr, "POST", "/v1/chat/completions", body, 5.0, head)
-        if isinstance(got, Answer) and got.status == 200:
+        if isinstance(got, Response) and got.status == 200:
             return
         await curio.sleep(READY_POLL_S)
 
--- a/ramppost/entry/main.py
+++ b/ramppost/entry/main.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from ramppost import clock
-from ramppost.agent.door import send_config
+from ramppost.agent.handler import send_config
 from ramppost.confsync import CONFIG_PATH, poll_peers, watch_platform
 from ramppost.entry.callers import callers_handler, encode_bad_input
 from ramppost.entry.claimhome import CLAIM_PATH, PEEK_PATH, reply_from_outcome
@@ -22,8 +22,8 @@
 from ramppost.schema.settings import EntrySettings, InputLimits
 from ramppost.usage import USAGE_PATH, usage
 from ramppost.wire.codec import decode, encode
-from ramppost.wire.messages import with_message
-from ramppost.wire.server import Handler, Limits, Reply, Request, TlsFiles, listen, serve
+from ramppost.wire.messages import handle_message
+from ramppost.wire.server import Handler, Limits, ReloadingTlsContext, Reply, Request, listen, serve
 from ramppost.wire.signals import Signals
 
 STOP_POLL_S: Final = 0.05
@@ -40,13 +40,15 @@
         elif req.path == "/x/report":
             await reply.send(200, encode(own_report(entry)))
         elif req.path == CLAIM_PATH:
-            await with_message(req, reply, Claim, lambda msg: _answer_claim(entry, msg, reply))
+            await handle_message(req, reply, Claim, lambda msg: _answer_claim(entry, msg, reply))
         elif req.path == PEEK_PATH:
-            await with_message(req, reply, PeekMsg, lambda msg: _answer_claim(entry, msg, reply))
+            await handle_message(req, reply, PeekMsg, lambda msg: _answer_claim(entry, msg, reply))
         elif req.path == COPIES_PATH:
-            await with_message(req, reply, CopiesMsg, lambda msg: _store_copies(entry, msg, reply))
+            await handle_message(
+                req, reply, CopiesMsg, lambda msg: _store_copies(entry, msg, reply)
+            )
         elif req.path == SETTLED_PATH:
-            await with_message(
+            await handle_message(
                 req, reply, SettledMsg, lambda msg: _settle_copies(entry, msg, reply)
             )
         elif req.path == USAGE_PATH:
@@ -109,7 +111,7 @@
     entry = Entry(cfg)
     public, internal = cfg["listen"], cfg["internal"]
     tls_cfg = cfg.get("tls")
-    tls = TlsFiles(tls_cfg["cert"], tls_cfg["key"]) if tls_cfg else None
+    tls = ReloadingTlsContext(tls_cfg["cert"], tls_cfg["key"]) if tls_cfg else None
     if tls is not None:
         tls.context()
     logger.info("entry {} of {} on {}:{}", entry.name, cfg["name"], public["host"], public["port"])
--- a/ramppost/entry/serve.py
+++ b/ramppost/entry/serve.py
@@ -25,7 +25,7 @@
 from ramppost.policy.routing import PickedVersion, cascade_stops
 from ramppost.policy.session import SessionPayload, StreamPayload, mint_token
 from ramppost.schema.messages import BillLine, End
-from ramppost.wire.server import Gone
+from ramppost.wire.server import ClientDisconnected
 
 MAX_RETRY_ROUNDS: Final = 2
 MAX_RATED_CHARS: Final = 4000
@@ -231,7 +231,7 @@
             await sink.end(end)
             entry.stats.record_end(job.workspace["name"], job.work_class, "served", first_token_s)
             return None
-    except Gone:
+    except ClientDisconnected:
         entry.stats.record_end(job.workspace["name"], job.work_class, "left", first_token_s)
         raise
     finally:
--- a/ramppost/gateway/inbound.py
+++ b/ramppost/gateway/inbound.py
@@ -19,7 +19,7 @@
 from ramppost.gateway.links import configure_socket
 from ramppost.gateway.model import CallerLimits, CallerRequest
 from ramppost.platform.headers import Headers, caller_request
-from ramppost.wire.server import Gone, next_client
+from ramppost.wire.server import ClientDisconnected, accept_client
 
 READ_SIZE: Final = 65536
 MAX_CONNECTIONS: Final = 3000
@@ -85,7 +85,7 @@
         try:
             await self._sock.sendall(data)
         except OSError as exc:
-            raise Gone from exc
+            raise ClientDisconnected from exc
 
 
 Serve = Callable[[CallerRequest, Reply, float], Awaitable[None]]
@@ -123,7 +123,7 @@
     """Accept connections until cancelled; each is served by its own daemon task."""
     async with sock:
         while True:
-            client_sock = await next_client(sock, lambda: callers.count >= MAX_CONNECTIONS)
+            client_sock = await accept_client(sock, lambda: callers.count >= MAX_CONNECTIONS)
             configure_socket(client_sock)
             await curio.spawn(_serve_connection, client_sock, callers, hooks, daemon=True)
 
@@ -136,7 +136,7 @@
         async with sock:
             while await _serve_one_request(sock, conn, callers, hooks):
                 conn.start_next_cycle()
-    except (Gone, OSError, h11.LocalProtocolError) as exc:
+    except (ClientDisconnected, OSError, h11.LocalProtocolError) as exc:
         logger.debug("caller's connection ended: {!r}", exc)
     finally:
         callers.count -= 1
@@ -264,14 +264,14 @@
         serving = await group.spawn(_run_serve, serve, req, reply, read_at)
         await group.spawn(_wait_for_disconnect, sock, conn)
     if group.completed is not serving or not serving.result:
-        raise Gone
+        raise ClientDisconnected
 
 
 async def _run_serve(serve: Serve, req: CallerRequest, reply: Reply, read_at: float) -> bool:
     """Serve a request; false if the connection must be closed."""
     try:
         await serve(req, reply, read_at)
-    except Gone:
+    except ClientDisconnected:
         return False
     except Exception as exc:
         logger.opt(exception=exc).error("serving failed", request=req.attempt_id)
--- a/ramppost/gateway/serve.py
+++ b/ramppost/gateway/serve.py
@@ -30,7 +30,7 @@
 from ramppost.platform.headers import Headers, refusal_headers
 from ramppost.policy.fatal import ObservedRun, evidence_level
 from ramppost.policy.policydoc import INPUT_PRICE_RATIO
-from ramppost.wire.server import Gone
+from ramppost.wire.server import ClientDisconnected
 
 MAX_CONNECT_FAILURES: Final = 4
 """Failed connections are not counted as retries, but they take time."""
@@ -46,7 +46,10 @@
 
 
 async def serve(gw: Gateway, req: CallerRequest, reply: Reply, read_at: float) -> None:
-    """Serve a request that was fully read at `read_at`; raises Gone to close the connection."""
+    """Serve a request that was fully read at `read_at`.
+
+    Raises ClientDisconnected to close the connection.
+    """
     admitted = admit(gw, req)
     if isinstance(admitted, Refusal):
         await _send_refusal(gw, req, reply, admitted, read_at)
@@ -60,7 +63,7 @@
             failure = await _process(gw, job, reply)
     except curio.TaskTimeout:
         failure = _timeout_refusal(job)
-    except (Gone, curio.CancelledError):
+    except (ClientDisconnected, curio.CancelledError):
         _record_end(gw, job, "caller left", reply.status, read_at)
         raise
     gw.counts.record(_ended_record(job, failure is None, clock.now()))
@@ -68,7 +71,7 @@
         _record_end(gw, job, "served", reply.status, read_at)
     elif reply.started:
         _record_end(gw, job, f"broken off: {failure.message}", reply.status, read_at)
-        raise Gone
+        raise ClientDisconnected
     else:
         await _send_refusal(gw, req, reply, failure, read_at, job.fingerprint)
 
--- a/ramppost/gateway/subscribe.py
+++ b/ramppost/gateway/subscribe.py
@@ -28,7 +28,7 @@
 from ramppost.platform.store import Change, Changes, Snapshot, StoredObject
 from ramppost.policy.relays import REFUSED_SKIP_S, UNREACHABLE_SKIP_S
 from ramppost.schema.messages import FeedChange, FeedKind, FeedMark, FeedMsg, FeedQuery
-from ramppost.wire.client import Answer, CallFailed, fetch
+from ramppost.wire.client import CallFailed, Response, fetch
 from ramppost.wire.codec import BadMessage, decode, encode
 from ramppost.wire.packing import unpack
 
@@ -117,7 +117,7 @@
     return True
 
 
-async def _send_query(gw: Gateway, query: _Query) -> Answer | CallFailed:
+async def _send_query(gw: Gateway, query: _Query) -> Response | CallFailed:
     marks = [_known_revision(replica, query.sent_at) for replica in gw.replicas.values()]
     body = encode(FeedQuery(wait_ms=round(query.wait_s * 1000), kinds=marks))
     timeout_s = query.wait_s + ANSWER_SLACK_S
@@ -139,7 +139,7 @@
             query.name, False, now, REFUSED_SKIP_S if refused else UNREACHABLE_SKIP_S
         )
     # Idle connections to the store and to other gateways may be dead as well.
-    gw.store.pool.drop_all()
+    gw.store.pool.close_all_idle()
 
 
 async def _apply_feed(gw: Gateway, query: _Query, msg: FeedMsg) -> None:
@@ -177,7 +177,7 @@
     return False
 
 
-def _decode_feed(answer: Answer) -> FeedMsg | BadMessage:
+def _decode_feed(answer: Response) -> FeedMsg | BadMessage:
     if answer.headers.get("content-type") != COMPRESSED_TYPE:
         return decode(answer.body, FeedMsg)
     body = unpack(answer.body)
--- a/ramppost/platform/store.py
+++ b/ramppost/platform/store.py
@@ -18,7 +18,7 @@
 import msgspec
 from loguru import logger
 
-from ramppost.wire.client import Answer, CallFailed, Pool, fetch
+from ramppost.wire.client import CallFailed, Pool, Response, fetch
 from ramppost.wire.codec import BadMessage, decode, encode
 
 CALL_TIMEOUT_S: Final = 1.0
@@ -177,7 +177,7 @@
     response = await _call(
         client, "GET", path, timeout_s=wait_s + WATCH_SLACK_S, on_response_start=on_response_start
     )
-    if isinstance(response, Answer) and response.status == 410:
+    if isinstance(response, Response) and response.status == 410:
         return HistoryExpired()
     body = _decode_body(response, _Watch)
     if isinstance(body, Unavailable):
@@ -193,7 +193,7 @@
 async def read(client: StoreClient, kind: str, name: str) -> StoredObject | Missing | Unavailable:
     """Reads an object."""
     response = await _call(client, "GET", f"/objects/{quote(kind)}/{quote(name)}")
-    if isinstance(response, Answer) and response.status == 404:
+    if isinstance(response, Response) and response.status == 404:
         return Missing()
     body = _decode_body(response, _Object)
     return body if isinstance(body, Unavailable) else _stored_object(body)
@@ -247,7 +247,7 @@
     body: bytes = b"",
     timeout_s: float = CALL_TIMEOUT_S,
     on_response_start: Callable[[], None] = lambda: None,
-) -> Answer | CallFailed:
+) -> Response | CallFailed:
     client.calls += 1
     headers = (("content-type", "application/json"),) if body else ()
     return await fetch(
@@ -255,14 +255,14 @@
     )
 
 
-def _write_result(response: Answer | CallFailed) -> StoredObject | Conflict | Unavailable:
-    if isinstance(response, Answer) and response.status in (404, 409):
+def _write_result(response: Response | CallFailed) -> StoredObject | Conflict | Unavailable:
+    if isinstance(response, Response) and response.status in (404, 409):
         return Conflict()
     body = _decode_body(response, _Object)
     return body if isinstance(body, Unavailable) else _stored_object(body)
 
 
-def _decode_body(response: Answer | CallFailed, kind: type[Any]) -> Any:
+def _decode_body(response: Response | CallFailed, kind: type[Any]) -> Any:
     """Decodes the body of a successful response."""
     if isinstance(response, CallFailed):
         return Unavailable(response.reason, not response.sent)
--- a/ramppost/standin/faults.py
+++ b/ramppost/standin/faults.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ramppost.wire.codec import BadMessage, decode
-from ramppost.wire.server import Gone, Handler, Reply, Request
+from ramppost.wire.server import ClientDisconnected, Handler, Reply, Request
 
 FOREVER_S: Final = 86400.0
 DOWN_BODY: Final = b'{"error":"stand-in is told to be down"}'
@@ -88,7 +88,7 @@
             await curio.sleep(fault.get("seconds", 1.0))
         if mode == "lost_reply":
             await handler(req, _Muted())
-            raise Gone
+            raise ClientDisconnected
         await handler(req, reply)
 
     return handle
--- a/ramppost/standin/upstream.py
+++ b/ramppost/standin/upstream.py
@@ -22,7 +22,7 @@
 from ramppost.schema.settings import UpstreamStandinSettings
 from ramppost.wire.client import Pool
 from ramppost.wire.codec import BadMessage, decode, encode
-from ramppost.wire.server import Gone, Reply, Request, listen, serve
+from ramppost.wire.server import ClientDisconnected, Reply, Request, listen, serve
 
 HEARTBEAT_S: Final = 0.4
 DEFAULT_CONFIDENCE: Final = 90
@@ -142,7 +142,7 @@
     try:
         await _run(up, req, reply, heads, common)
         line["state"] = "done"
-    except (Gone, curio.CancelledError):
+    except (ClientDisconnected, curio.CancelledError):
         line["state"] = "cut"
         raise
     finally:
@@ -186,7 +186,7 @@
         await curio.sleep(float("inf"))
     await curio.sleep(up.how.get("work_ms", up.cfg["work_ms"]) / 1000)
     if up.how.get("lose"):
-        raise Gone
+        raise ClientDisconnected
     head = (*common, (names.SIGNATURE.decode(), f"{SIGNATURE}.{up.cfg['id']}"))
     status = up.how.get("status", 200)
     if names.TOKEN_COUNTS not in heads or status != 200:
@@ -204,7 +204,7 @@
     for number in range(begin + 1, up.how.get("events", DEFAULT_EVENTS) + 1):
         if number > up.how.get("cut_after", number):
             await reply.write(b"id: %d\ndata: tor" % number)
-            raise Gone
+            raise ClientDisconnected
         await reply.write(b"id: %d\ndata: piece %d\n\n" % (number, number))
         await curio.sleep(up.how.get("event_ms", up.cfg.get("event_ms", 10)) / 1000)
     await reply.end()
--- a/ramppost/wire/client.py
+++ b/ramppost/wire/client.py
@@ -21,7 +21,7 @@
 MAX_IDLE: Final = 32
 MAX_LINE: Final = 8 * 1024 * 1024
 CONNECT_TIMEOUT_S: Final = 2.0
-STALL_S: Final = 1.5
+STALL_TIMEOUT_S: Final = 1.5
 """Silence in the middle of an answer after which it is given up: longer than a lost packet that
 is sent again twice, and than a process that waits for its processor."""
 SLOWEST_BPS: Final = 50_000.0
@@ -42,7 +42,7 @@
     refused: bool = False
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """A whole answer; header names are in lower case."""
 
     status: int
@@ -74,13 +74,13 @@
 
     def __init__(self, source: str = "") -> None:
         self.source = None if source in UNSPECIFIED else (source, 0)
-        self.idle: dict[str, list[_Link]] = {}
+        self.idle_connections: dict[str, list[_Link]] = {}
         self.bytes_out = 0
         self.bytes_in = 0
 
-    def take(self, addr: str) -> _Link | None:
+    def take_idle(self, addr: str) -> _Link | None:
         """An idle connection that the other side has not closed."""
-        links = self.idle.get(addr, [])
+        links = self.idle_connections.get(addr, [])
         while links:
             link = links.pop()
             if not readable(link.sock.fileno()):
@@ -88,30 +88,30 @@
             link.sock._socket.close()
         return None
 
-    def give(self, addr: str, link: _Link) -> bool:
+    def return_idle(self, addr: str, link: _Link) -> bool:
         """Keep a connection for reuse; false if it can't be."""
         if link.h11.our_state is not h11.DONE or link.h11.their_state is not h11.DONE:
             return False
-        links = self.idle.setdefault(addr, [])
+        links = self.idle_connections.setdefault(addr, [])
         if len(links) >= MAX_IDLE:
             return False
         link.h11.start_next_cycle()
         links.append(link)
         return True
 
-    def drop(self, addr: str) -> None:
+    def close_idle(self, addr: str) -> None:
         """Close the idle connections to an address.
 
         One that says nothing more without being closed is seldom alone: all that were open may
         have gone silent at once, and each would cost a call's whole time.
         """
-        for link in self.idle.pop(addr, []):
+        for link in self.idle_connections.pop(addr, []):
             link.sock._socket.close()
 
-    def drop_all(self) -> None:
+    def close_all_idle(self) -> None:
         """Close all idle connections."""
-        for addr in list(self.idle):
-            self.drop(addr)
+        for addr in list(self.idle_connections):
+            self.close_idle(addr)
 
 
 class Stream:
@@ -173,7 +173,7 @@
 
     async def close(self) -> None:
         """Keep the connection for reuse where it was read to its end, else close it."""
-        if not self._pool.give(self._addr, self._link):
+        if not self._pool.return_idle(self._addr, self._link):
             await self._link.sock.close()
 
     async def _event(self) -> Any:
@@ -200,7 +200,7 @@
     headers: tuple[tuple[str, str], ...] = (),
 ) -> Stream | CallFailed:
     """Send a request and read the head of its answer within `timeout_s`."""
-    link = pool.take(addr)
+    link = pool.take_idle(addr)
     if link is None:
         sock = await connect(addr, pool.source, min(timeout_s, CONNECT_TIMEOUT_S))
         if isinstance(sock, CallFailed):
@@ -221,7 +221,7 @@
             await stream.read_head()
     except curio.TaskTimeout:
         await link.sock.close()
-        pool.drop(addr)
+        pool.close_idle(addr)
         return CallFailed(f"no answer from {addr} in {timeout_s:g} s", True)
     except OSError as exc:
         await link.sock.close()
@@ -240,7 +240,7 @@
     body: bytes = b"",
     timeout_s: float = 5.0,
     headers: tuple[tuple[str, str], ...] = (),
-) -> Answer | CallFailed:
+) -> Response | CallFailed:
     """Send a request and read its whole answer within `timeout_s`."""
     opening = open_stream(pool, addr, method, path, body, timeout_s, headers)
     return await _read_whole(pool, addr, opening, timeout_s, None)
@@ -255,7 +255,7 @@
     timeout_s: float = 5.0,
     headers: tuple[tuple[str, str], ...] = (),
     begun: Callable[[], None] = lambda: None,
-) -> Answer | CallFailed:
+) -> Response | CallFailed:
     """Send a request, read the head of its answer within `timeout_s` and then the body; `begun`
     is called in between.
 
@@ -265,7 +265,7 @@
     """
     head_s = timeout_s + len(body) / SLOWEST_BPS
     opening = open_stream(pool, addr, method, path, body, head_s, headers)
-    return await _read_whole(pool, addr, opening, head_s + LONGEST_FETCH_S, STALL_S, begun)
+    return await _read_whole(pool, addr, opening, head_s + LONGEST_FETCH_S, STALL_TIMEOUT_S, begun)
 
 
 async def _read_whole(
@@ -275,7 +275,7 @@
     longest_s: float,
     stall_s: float | None,
     begun: Callable[[], None] = lambda: None,
-) -> Answer | CallFailed:
+) -> Response | CallFailed:
     """The whole answer of a request that is being sent.
 
     It is given up after `longest_s` in all, or when no piece of the body comes for `stall_s`.
@@ -291,9 +291,9 @@
             begun()
             while piece := await _next_piece(stream, stall_s):
                 data += piece
-            return Answer(stream.status, stream.headers, bytes(data))
+            return Response(stream.status, stream.headers, bytes(data))
     except (curio.TaskTimeout, TimeoutError):
-        pool.drop(addr)
+        pool.close_idle(addr)
         after_s = clock.now() - began
         read = _progress(stream, data)
         return CallFailed(f"no whole answer from {addr} in {after_s:.1f} s{read}", True)
--- a/ramppost/wire/messages.py
+++ b/ramppost/wire/messages.py
@@ -11,7 +11,7 @@
 T = TypeVar("T")
 
 
-async def with_message(
+async def handle_message(
     req: Request, reply: Reply, kind: type[T], then: Callable[[T], Awaitable[None]]
 ) -> None:
     """Hand the body on as a message of this kind; 400 with the path of the fault if it is none."""
--- a/ramppost/wire/server.py
+++ b/ramppost/wire/server.py
@@ -53,7 +53,7 @@
     reason: str
 
 
-class Gone(Exception):
+class ClientDisconnected(Exception):
     """The client closed its connection while we were answering."""
 
 
@@ -61,7 +61,7 @@
     """Connections open now, and bytes that went over all of them."""
 
     def __init__(self) -> None:
-        self.count = 0
+        self.open_connections = 0
         self.bytes_in = 0
         self.bytes_out = 0
 
@@ -119,14 +119,14 @@
         try:
             await self._sock.sendall(data)
         except OSError as exc:
-            raise Gone from exc
+            raise ClientDisconnected from exc
 
 
 Handler = Callable[[Request, Reply], Awaitable[None]]
 ErrorBody = Callable[[BadInput], bytes]
 
 
-class TlsFiles:
+class ReloadingTlsContext:
     """A TLS context that is read again when its files change."""
 
     def __init__(self, cert: str, key: str) -> None:
@@ -156,7 +156,7 @@
     return curio.network.tcp_server_socket(host, port, backlog=BACKLOG, reuse_address=True)
 
 
-async def next_client(sock: Any, full: Callable[[], bool]) -> Any:
+async def accept_client(sock: Any, full: Callable[[], bool]) -> Any:
     """The next connection; none is taken while there are as many as there may be."""
     while True:
         if not full():
@@ -173,14 +173,16 @@
     handler: Handler,
     limits: Limits = Limits(),
     error_body: ErrorBody | None = None,
-    tls: TlsFiles | None = None,
+    tls: ReloadingTlsContext | None = None,
     meter: Meter | None = None,
 ) -> None:
     """Serve until cancelled; connections go on in daemon tasks of their own."""
     opened = meter or Meter()
     async with sock:
         while True:
-            client = await next_client(sock, lambda: opened.count >= limits.connections)
+            client = await accept_client(
+                sock, lambda: opened.open_connections >= limits.connections
+            )
             client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             if tls is not None:
                 client = await tls.context().wrap_socket(
@@ -201,17 +203,17 @@
     handshake: bool,
 ) -> None:
     conn = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.header_bytes)
-    opened.count += 1
+    opened.open_connections += 1
     try:
         async with sock:
             if handshake:
                 await curio.timeout_after(limits.read_timeout_s, sock.do_handshake())
             while await _serve_one(sock, conn, handler, limits, error_body, opened):
                 conn.start_next_cycle()
-    except (Gone, OSError, curio.TaskTimeout, h11.LocalProtocolError):
+    except (ClientDisconnected, OSError, curio.TaskTimeout, h11.LocalProtocolError):
         pass
     finally:
-        opened.count -= 1
+        opened.open_connections -= 1
 
 
 async def _serve_one(
@@ -235,7 +237,7 @@
         return False
     try:
         await handler(req, reply)
-    except Gone:
+    except ClientDisconnected:
         raise
     except Exception as exc:
         logger.opt(exception=exc).error("handler failed for {} {}", req.method, req.path)
--- a/tests/harness/ablated.py
+++ b/tests/harness/ablated.py
@@ -13,7 +13,7 @@
 
 import curio
 
-from ramppost.agent import door
+from ramppost.agent import handler
 from ramppost.cli.main import main
 from ramppost.confsync import ConfigState
 from ramppost.entry import claimhome, claimlog, copies, dispatch, keyed, route, upstreams
@@ -57,7 +57,7 @@
     """The agent files no bill."""
     from ramppost.agent import runner
 
-    runner._witness = lambda *args: None
+    runner._keep_bill = lambda *args: None
 
 
 def no_copies() -> None:
@@ -92,7 +92,7 @@
     async def nothing(*args: Any) -> Any:
         return False
 
-    door._catch_up = nothing  # type: ignore[assignment]
+    handler._fetch_newer_config = nothing  # type: ignore[assignment]
     dispatch.fetch_config = nothing  # type: ignore[assignment]
     from ramppost.agent import main as agent_main
     from ramppost.entry import main as entry_main
--- a/tests/test_hall_feed.py
+++ b/tests/test_hall_feed.py
@@ -118,7 +118,7 @@
         began = clock.now()
         assert not await poll_once(told, teller.cfg["name"])
         assert teller.cfg["name"] not in told.peers.alive(clock.now())
-        assert told.store.pool.idle == {}, "what is open may be as silent"
+        assert told.store.pool.idle_connections == {}, "what is open may be as silent"
         return clock.now() - began
 
     took_s: Any = curio.run(scene)
--- a/tests/test_large_config.py
+++ b/tests/test_large_config.py
@@ -26,7 +26,7 @@
 from ramppost import clock
 from ramppost.platform import names
 from ramppost.policy.relays import rank_gateways
-from ramppost.wire.client import Answer, Pool, fetch
+from ramppost.wire.client import Pool, Response, fetch
 from tests.harness.gateways import HOST, KEYS, SAFE, Deployment, config, route
 from tests.harness.proxy import Proxy
 
@@ -171,7 +171,7 @@
         body = b"x" * 1_000_000
         began = clock.now()
         got = await fetch(Pool(), addr, "PUT", "/", body, timeout_s=1.0)
-        assert isinstance(got, Answer) and got.status == 200
+        assert isinstance(got, Response) and got.status == 200
         assert clock.now() - began > 1.5, "longer than the time for the beginning"
 
     curio.run(scene)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -11,7 +11,7 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from ramppost import clock
-from ramppost.agent.orders import AGAIN_S
+from ramppost.agent.orders import REORDER_DELAY_S
 from ramppost.policy.orders import LoadOrder, orders_due
 from ramppost.policy.permissions import ModelVersion
 from ramppost.standin.fleet import ENGINE_MODELS, MESOB, config_doc
@@ -148,8 +148,8 @@
 def no_order(cluster: Cluster) -> None:
     cluster.upstream_proxy["agent-1"].set("pass")
     cluster.thaw("agent-1")
-    time.sleep(AGAIN_S + 1.5)
+    time.sleep(REORDER_DELAY_S + 1.5)
     assert orders(cluster, "engine-1") == []
     cluster.heal()
-    time.sleep(AGAIN_S)
+    time.sleep(REORDER_DELAY_S)
     assert orders(cluster, "engine-1") == []
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -268,4 +268,4 @@
         os.close(high)
         one.close()
         other.close()
-    assert Pool().take("127.0.0.1:1") is None
+    assert Pool().take_idle("127.0.0.1:1") is None
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -22,7 +22,7 @@
 
 from ramppost import clock
 from ramppost.policy.relays import rank_gateways
-from ramppost.wire.client import STALL_S, Answer, CallFailed, Pool, call, fetch
+from ramppost.wire.client import STALL_TIMEOUT_S, CallFailed, Pool, Response, call, fetch
 from tests.harness.gateways import HOST, KEYS, Deployment, config, route
 from tests.harness.proxy import Proxy
 
@@ -100,7 +100,7 @@
     got = curio.run(scene)
     assert isinstance(got, CallFailed)
     assert got.sent and "1 of 2 bytes read" in got.reason
-    assert STALL_S <= clock.now() - began < 2 * STALL_S
+    assert STALL_TIMEOUT_S <= clock.now() - began < 2 * STALL_TIMEOUT_S
 
 
 def test_a_kept_connection_that_is_silent_speaks_for_all_that_were_kept() -> None:
@@ -111,8 +111,8 @@
         pool = Pool()
         calls = [await curio.spawn(call, pool, addr, "GET", "/") for _ in range(3)]
         for one in calls:
-            assert isinstance(await one.join(), Answer)
+            assert isinstance(await one.join(), Response)
         assert isinstance(await call(pool, addr, "GET", "/", timeout_s=0.3), CallFailed)
-        assert isinstance(await call(pool, addr, "GET", "/", timeout_s=0.3), Answer)
+        assert isinstance(await call(pool, addr, "GET", "/", timeout_s=0.3), Response)
 
     curio.run(scene)
