--- a/ramppost/agent/engine.py
+++ b/ramppost/agent/engine.py
@@ -1,8 +1,8 @@
-"""Adapter of a model engine that speaks the OpenAI form.
+"""Client of a model engine with an OpenAI-compatible API.
 
-`run_engine` tells whether the run began, hands on each piece of text, and ends
-with usage.  Statuses 400, 404 and 429 are the engine's word that it did not run;
-any other failure after the request was sent counts as begun.
+`run_engine` reports the start of a run, passes on each piece of text, and returns the token usage
+at the end.  With status 400, 404 or 429 the engine states that it did not run the request; after
+any other failure once the request was sent, the run may have started.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 from ramppost.wire.codec import BadMessage, decode, encode
 
 NOT_RUN_STATUSES: Final = (400, 404, 429)
-DATA: Final = b"data: "
-DONE: Final = b"[DONE]"
+EVENT_PREFIX: Final = b"data: "
+END_OF_STREAM: Final = b"[DONE]"
 CALL_TIMEOUT_S: Final = 2.0
 TOKEN_TIMEOUT_S: Final = 30.0
 
 
 class Delta(TypedDict, total=False):
-    """A piece of a message."""
+    """The part of a message that a chunk adds."""
 
     content: str | None
 
 
 class Choice(TypedDict, total=False):
-    """A choice of a chunk."""
+    """One of the choices of a chunk; only the first is used."""
 
     delta: Delta
     finish_reason: str | None
 
 
 class Usage(TypedDict):
-    """Tokens used."""
+    """Token counts of a completion."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -54,8 +54,8 @@
     confidence: float
 
 
-class Ran(NamedTuple):
-    """The run came to its end."""
+class RunCompleted(NamedTuple):
+    """The run completed."""
 
     finish: str
     tokens_in: int
@@ -63,38 +63,38 @@
     confidence: float
 
 
-class NotBegun(NamedTuple):
+class NotStarted(NamedTuple):
     """The engine did not run it."""
 
     reason: str
 
 
-class Lost(NamedTuple):
-    """The upstream was asked and gave no answer; nobody knows whether it ran."""
+class OutcomeUnknown(NamedTuple):
+    """The request was sent but no response came, so the run may or may not have happened."""
 
     reason: str
 
 
-class Broke(NamedTuple):
-    """The run began and failed."""
+class RunFailed(NamedTuple):
+    """The run started and failed, or its answer is invalid."""
 
     reason: str
 
 
-Begun = Callable[[], Awaitable[None]]
+OnStart = Callable[[], Awaitable[None]]
 OnText = Callable[[str], Awaitable[None]]
 
 
-def engine_body(msg: RunMsg) -> bytes:
-    """The caller's body with the version to run, always streamed."""
+def _request_body(msg: RunMsg) -> bytes:
+    """The caller's body with the model version to run, and with streaming turned on."""
     body = cast("dict[str, Any]", msgspec.json.decode(msg["body"]))
     body["model"] = f"{msg['model']}@{msg['version']}"
     body["stream"] = True
     return encode(body)
 
 
-def headers_of(msg: RunMsg) -> tuple[tuple[str, str], ...]:
-    """What the upstream is told about a request."""
+def request_headers(msg: RunMsg) -> tuple[tuple[str, str], ...]:
+    """The request headers for an upstream."""
     return (
         ("content-type", "application/json"),
         ("x-request-id", msg["request_id"]),
@@ -107,81 +107,85 @@
 
 
 async def run_engine(
-    pool: Pool, addr: str, msg: RunMsg, exact: bool, begun: Begun, on_text: OnText
-) -> Ran | NotBegun | Lost | Broke:
-    """Run an attempt at the engine; `exact` as the setting `exact_stream` says."""
+    pool: Pool, addr: str, msg: RunMsg, exact: bool, on_start: OnStart, on_text: OnText
+) -> RunCompleted | NotStarted | OutcomeUnknown | RunFailed:
+    """Run an attempt at the engine; `exact` is the value of the setting `exact_stream`."""
     path = "/v1/chat/completions"
     stream = await open_stream(
-        pool, addr, "POST", path, engine_body(msg), TOKEN_TIMEOUT_S, headers_of(msg)
+        pool, addr, "POST", path, _request_body(msg), TOKEN_TIMEOUT_S, request_headers(msg)
     )
     if isinstance(stream, CallFailed):
-        return Lost(stream.reason) if stream.sent else NotBegun(stream.reason)
+        return OutcomeUnknown(stream.reason) if stream.sent else NotStarted(stream.reason)
     try:
         if stream.status in NOT_RUN_STATUSES:
-            return NotBegun(f"engine answered {stream.status}")
+            return NotStarted(f"engine answered {stream.status}")
         if stream.status != 200:
-            return Broke(f"engine answered {stream.status}")
-        await begun()
-        ran = Ran("", 0, 0, 0.0)
-        count = 0
+            return RunFailed(f"engine answered {stream.status}")
+        await on_start()
+        completed = RunCompleted("", 0, 0, 0.0)
+        chunk_count = 0
         while True:
             line = await curio.timeout_after(TOKEN_TIMEOUT_S, stream.read_line())
-            if line == DATA + DONE:
-                return ran if ran.finish else Broke("engine ended without a finish reason")
-            if not line.startswith(DATA):
-                return Broke("engine's stream was cut")
-            chunk = decode(line[len(DATA) :], Chunk)
+            if line == EVENT_PREFIX + END_OF_STREAM:
+                return (
+                    completed
+                    if completed.finish
+                    else RunFailed("engine ended without a finish reason")
+                )
+            if not line.startswith(EVENT_PREFIX):
+                return RunFailed("engine's stream was cut")
+            chunk = decode(line[len(EVENT_PREFIX) :], Chunk)
             if isinstance(chunk, BadMessage):
-                return Broke(f"engine sent a malformed chunk: {chunk.reason}")
+                return RunFailed(f"engine sent a malformed chunk: {chunk.reason}")
             if exact and chunk.get("id") != msg["attempt"]:
-                return Broke("chunk of another answer")
-            text, finish = _text(chunk)
+                return RunFailed("chunk of another answer")
+            text, finish = _text_and_finish(chunk)
             if text:
-                count += 1
+                chunk_count += 1
                 await on_text(text)
             if finish:
-                ran = _ran(finish, chunk, count)
-                if exact and ran.tokens_out != count:
-                    return Broke(f"{count} chunks of {ran.tokens_out} arrived")
+                completed = _completed_run(finish, chunk, chunk_count)
+                if exact and completed.tokens_out != chunk_count:
+                    return RunFailed(f"{chunk_count} chunks of {completed.tokens_out} arrived")
     except OSError as exc:
-        return Broke(f"engine's stream was cut: {exc}")
+        return RunFailed(f"engine's stream was cut: {exc}")
     except curio.TaskTimeout:
-        return Broke(f"no token in {TOKEN_TIMEOUT_S:g} s")
+        return RunFailed(f"no token in {TOKEN_TIMEOUT_S:g} s")
     finally:
         await stream.close()
 
 
-def _text(chunk: Chunk) -> tuple[str, str]:
+def _text_and_finish(chunk: Chunk) -> tuple[str, str]:
     choices = chunk.get("choices") or [Choice()]
     delta = choices[0].get("delta") or Delta()
     return delta.get("content") or "", choices[0].get("finish_reason") or ""
 
 
-def _ran(finish: str, chunk: Chunk, count: int) -> Ran:
-    usage = chunk.get("usage") or Usage(prompt_tokens=0, completion_tokens=count)
-    return Ran(
+def _completed_run(finish: str, chunk: Chunk, chunk_count: int) -> RunCompleted:
+    usage = chunk.get("usage") or Usage(prompt_tokens=0, completion_tokens=chunk_count)
+    return RunCompleted(
         finish, usage["prompt_tokens"], usage["completion_tokens"], chunk.get("confidence", 0.0)
     )
 
 
 async def cancel_run(pool: Pool, addr: str, attempt: str) -> None:
-    """Ask the engine to stop a run."""
+    """Ask the engine to cancel a run."""
     await call(pool, addr, "POST", "/v1/cancel", encode({"attempt": attempt}), CALL_TIMEOUT_S)
 
 
-class Ordered(NamedTuple):
-    """The engine took an order; what it loads shows in its versions once it is done."""
+class OrderAccepted(NamedTuple):
+    """The engine accepted an order; a version appears among its versions once it is loaded."""
 
 
 class OrderRefused(NamedTuple):
-    """The engine did not take an order, or gave no answer; orders may be given again."""
+    """The engine rejected an order or did not respond; orders can be sent again safely."""
 
     reason: str
     retry_after_s: float
 
 
 class OrderBody(TypedDict):
-    """A fenced order as the engine takes it."""
+    """The body of an order, with its fencing token."""
 
     fence: int
     action: str
@@ -189,24 +193,26 @@
     version: str
 
 
-async def order_load(pool: Pool, addr: str, order: LoadOrder) -> Ordered | OrderRefused:
-    """Order an engine to load a version."""
+async def send_load_order(pool: Pool, addr: str, order: LoadOrder) -> OrderAccepted | OrderRefused:
+    """Send an engine the order to load a version."""
     body = OrderBody(
         fence=order.fence, action="load", model=order.mv.model, version=order.mv.version
     )
-    got = await call(pool, addr, "POST", "/order", encode(body), CALL_TIMEOUT_S)
-    if isinstance(got, CallFailed):
-        return OrderRefused(got.reason, 0.0)
-    if got.status == 200:
-        return Ordered()
-    wait = got.headers.get("retry-after", "")
-    return OrderRefused(f"engine answered {got.status}", float(wait) if wait.isdigit() else 0.0)
-
-
-async def versions_of(pool: Pool, addr: str) -> list[str] | None:
-    """The versions an engine serves, `model@version`; None where it does not answer."""
-    got = await call(pool, addr, "GET", "/v1/models", timeout_s=CALL_TIMEOUT_S)
-    if isinstance(got, CallFailed) or got.status != 200:
+    response = await call(pool, addr, "POST", "/order", encode(body), CALL_TIMEOUT_S)
+    if isinstance(response, CallFailed):
+        return OrderRefused(response.reason, 0.0)
+    if response.status == 200:
+        return OrderAccepted()
+    retry_after = response.headers.get("retry-after", "")
+    return OrderRefused(
+        f"engine answered {response.status}", float(retry_after) if retry_after.isdigit() else 0.0
+    )
+
+
+async def fetch_versions(pool: Pool, addr: str) -> list[str] | None:
+    """The versions that an engine serves, as `model@version`; None if it does not respond."""
+    response = await call(pool, addr, "GET", "/v1/models", timeout_s=CALL_TIMEOUT_S)
+    if isinstance(response, CallFailed) or response.status != 200:
         return None
-    found = decode(got.body, list[str])
-    return None if isinstance(found, BadMessage) else found
+    versions = decode(response.body, list[str])
+    return None if isinstance(versions, BadMessage) else versions
--- a/ramppost/agent/handler.py
+++ b/ramppost/agent/handler.py
@@ -1,8 +1,9 @@
-"""The agent's door: the only way to its upstream.
+"""HTTP handler of an agent; requests reach its upstream only through it.
 
-`/a/run` admits an attempt or says truly that it was not run; `/a/attach` reads an
-attempt on from any piece, or bars it if it was never admitted; `/a/settled` and
-`/a/status` do what they say.
+`/a/run` admits an attempt, or answers `not_run` if it was certainly not run.  `/a/attach`
+resumes the answer of an attempt from any frame, or records a tombstone for an attempt that was
+never admitted.  `/a/settled` discards the copies of bills that the entry has filed, and
+`/a/status` reports the state, the load and the outcome counts.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 from ramppost import clock, ids
 from ramppost.agent.attempts import Attempt
-from ramppost.agent.runner import refusal_now, take_in
+from ramppost.agent.runner import admit_or_queue, refusal_reason
 from ramppost.agent.state import Agent
 from ramppost.confsync import CONFIG_PATH, fetch_config
 from ramppost.schema.messages import (
@@ -33,23 +34,29 @@
 
 
 def agent_handler(agent: Agent) -> Handler:
-    """The handler of an agent's listener."""
+    """Return the handler of an agent's listener."""
 
     async def handle(req: Request, reply: Reply) -> None:
         if req.path == "/a/run":
-            await handle_message(req, reply, RunMsg, lambda msg: _run(agent, msg, reply))
+            await handle_message(req, reply, RunMsg, lambda msg: _handle_run(agent, msg, reply))
         elif req.path == "/a/attach":
-            await handle_message(req, reply, AttachMsg, lambda msg: _attach(agent, msg, reply))
+            await handle_message(
+                req, reply, AttachMsg, lambda msg: _handle_attach(agent, msg, reply)
+            )
         elif req.path == "/a/settled":
-            await handle_message(req, reply, SettledMsg, lambda msg: _settled(agent, msg, reply))
+            await handle_message(
+                req, reply, SettledMsg, lambda msg: _handle_settled(agent, msg, reply)
+            )
         elif req.path == "/a/status":
-            await handle_message(req, reply, StatusMsg, lambda msg: _status(agent, msg, reply))
+            await handle_message(
+                req, reply, StatusMsg, lambda msg: _handle_status(agent, msg, reply)
+            )
         elif req.path == CONFIG_PATH:
             await send_config(agent.conf.encoded, agent.conf.rev, req, reply)
         elif req.path == USAGE_PATH:
             await reply.send(200, encode(usage(agent.client, (agent.meter,))))
         elif req.path in ("/healthz", "/readyz"):
-            ready = agent.conf.doc is not None and agent.up and not agent.leaving
+            ready = agent.conf.doc is not None and agent.upstream_up and not agent.leaving
             await reply.send(200 if ready or req.path == "/healthz" else 503, b"{}")
         else:
             await reply.send(404, b'{"error":"no such path"}')
@@ -58,7 +65,7 @@
 
 
 async def send_config(raw: bytes, rev: int, req: Request, reply: Reply) -> None:
-    """Answer a peer that asks for a revision newer than its own."""
+    """Send the configuration if it is newer than the revision in the query, else status 304."""
     asked = req.query.get("rev", "0")
     if asked.isdigit() and int(asked) < rev:
         await reply.send(200, raw)
@@ -71,52 +78,52 @@
         await fetch_config(agent.conf, agent.pool, ids.address(sender))
 
 
-async def _run(agent: Agent, msg: RunMsg, reply: Reply) -> None:
+async def _handle_run(agent: Agent, msg: RunMsg, reply: Reply) -> None:
     await _fetch_newer_config(agent, msg["entry"], msg["rev"])
     item = agent.attempts.get(msg["attempt"])
     if item is None:
-        if not agent.admits(msg["agent"]):
-            await _say(agent, msg["attempt"], "not_run", "wrong_incarnation", reply)
+        if not agent.accepts_ticket(msg["agent"]):
+            await _send_head(agent, msg["attempt"], "not_run", "wrong_incarnation", reply)
             return
         if msg["rev"] > agent.conf.rev:
-            await _say(agent, msg["attempt"], "not_run", "behind", reply)
+            await _send_head(agent, msg["attempt"], "not_run", "behind", reply)
             return
-        item = agent.attempts.begin(msg)
-        reason = "leaving" if agent.leaving else refusal_now(agent, msg)
+        item = agent.attempts.add(msg)
+        reason = "leaving" if agent.leaving else refusal_reason(agent, msg)
         if reason:
             await item.refuse(reason)
         else:
-            await take_in(agent, item, msg)
-    await _follow(agent, item, 0, reply)
+            await admit_or_queue(agent, item, msg)
+    await _send_attempt(agent, item, 0, reply)
 
 
-async def _attach(agent: Agent, msg: AttachMsg, reply: Reply) -> None:
+async def _handle_attach(agent: Agent, msg: AttachMsg, reply: Reply) -> None:
     await _fetch_newer_config(agent, msg["entry"], msg["rev"])
     item = agent.attempts.get(msg["attempt"])
     if item is not None:
-        await _follow(agent, item, msg["from_frame"], reply)
+        await _send_attempt(agent, item, msg["from_frame"], reply)
     elif ids.parse_ticket(msg["agent"]).incarnation != agent.name:
-        await _say(agent, msg["attempt"], "unknown", "replaced", reply)
-    elif not agent.admits(msg["agent"]):
-        await _say(agent, msg["attempt"], "unknown", "forgotten", reply)
+        await _send_head(agent, msg["attempt"], "unknown", "replaced", reply)
+    elif not agent.accepts_ticket(msg["agent"]):
+        await _send_head(agent, msg["attempt"], "unknown", "forgotten", reply)
     elif msg["tombstone"]:
-        item = await agent.attempts.bar(msg["attempt"], "tombstoned")
-        await _follow(agent, item, 0, reply)
+        item = await agent.attempts.add_tombstone(msg["attempt"], "tombstoned")
+        await _send_attempt(agent, item, 0, reply)
     else:
-        await _say(agent, msg["attempt"], "unknown", "not_seen", reply)
+        await _send_head(agent, msg["attempt"], "unknown", "not_seen", reply)
 
 
-async def _follow(agent: Agent, item: Attempt, start: int, reply: Reply) -> None:
-    """Send the head once it is known, then pieces from `start` on, then the end."""
+async def _send_attempt(agent: Agent, item: Attempt, start: int, reply: Reply) -> None:
+    """Send the head once the outcome is known, then the frames from `start` on, then the end."""
     item.readers += 1
     try:
         await item.wait_for(-1)
         if item.state == "not_run":
             wait_s = item.retry_after_s
-            await _say(agent, item.attempt, "not_run", item.reason, reply, wait_s)
+            await _send_head(agent, item.attempt, "not_run", item.reason, reply, wait_s)
             return
-        if item.dropped:
-            await _say(agent, item.attempt, "unknown", "answer_dropped", reply)
+        if item.frames_dropped:
+            await _send_head(agent, item.attempt, "unknown", "answer_dropped", reply)
             return
         await reply.start(200, NDJSON)
         await reply.write(encode_line(_head(agent, item.attempt, "admitted", "")))
@@ -124,7 +131,7 @@
         await reply.end()
     finally:
         item.readers -= 1
-        item.unread_since = clock.now()
+        item.last_read_at = clock.now()
 
 
 async def _send_frames(item: Attempt, start: int, reply: Reply) -> None:
@@ -154,11 +161,11 @@
         reason=reason,
         retry_after_s=retry_after_s,
         load=agent.load(),
-        counts=agent.count_list(),
+        counts=agent.outcome_counts(),
     )
 
 
-async def _say(
+async def _send_head(
     agent: Agent,
     attempt: str,
     outcome: HeadOutcome,
@@ -170,15 +177,15 @@
     await reply.send(200, encode_line(head), NDJSON)
 
 
-async def _settled(agent: Agent, msg: SettledMsg, reply: Reply) -> None:
+async def _handle_settled(agent: Agent, msg: SettledMsg, reply: Reply) -> None:
     for attempt in msg["attempts"]:
-        agent.witness.pop(attempt, None)
+        agent.unsettled_bills.pop(attempt, None)
     await reply.send(200, b"{}")
 
 
-async def _status(agent: Agent, msg: StatusMsg, reply: Reply) -> None:
+async def _handle_status(agent: Agent, msg: StatusMsg, reply: Reply) -> None:
     await _fetch_newer_config(agent, msg["entry"], msg["rev"])
-    state: Literal["live", "leaving", "down"] = "live" if agent.up else "down"
+    state: Literal["live", "leaving", "down"] = "live" if agent.upstream_up else "down"
     status = AgentStatus(
         agent=agent.ticket,
         name=agent.cfg["name"],
@@ -189,6 +196,6 @@
         service=agent.cfg["upstream"].get("service", ""),
         versions=agent.versions,
         load=agent.load(),
-        counts=agent.count_list(),
+        counts=agent.outcome_counts(),
     )
     await reply.send(200, encode(status))
--- a/ramppost/agent/orders.py
+++ b/ramppost/agent/orders.py
@@ -1,13 +1,13 @@
-"""Gives an engine the orders that it is due, and nobody else does.
+"""Sends an engine the load orders that are due.
 
-Weights come from a store with a rate, so all agents must not order at the same
-moment: each waits a random part of `spread_s` first, and as long as the engine
-says where the store has no room.
+Only the agent of an engine sends it orders.  Model weights come from a store of limited
+throughput, so agents must not all send orders at the same time: each delays an order by a random
+part of `order_spread_s`, and by the retry delay of the engine if the store has no capacity.
 
-An agent that was paused may hold an old configuration and not know it.  It gives
-orders only within `FRESH_S` of having heard from the platform or a peer, by a
-clock that runs on while the process is stopped; the fence guards the rest where
-the engine checks it.
+An agent whose process was paused may hold an outdated configuration without noticing.  It sends
+orders only within `MAX_CONTACT_AGE_S` of its last contact with the platform or a peer, by a clock
+that advances while the process is stopped.  In the remaining cases the fencing token protects an
+engine that checks it.
 """
 
 from __future__ import annotations
@@ -19,43 +19,47 @@
 from loguru import logger
 
 from ramppost import clock
-from ramppost.agent.engine import OrderRefused, order_load
+from ramppost.agent.engine import OrderRefused, send_load_order
 from ramppost.agent.state import Agent
 from ramppost.policy.orders import LoadOrder, orders_due
 from ramppost.policy.permissions import ModelVersion, parse_model
 
-PERIOD_S: Final = 0.5
-FRESH_S: Final = 6.0
+POLL_INTERVAL_S: Final = 0.5
+MAX_CONTACT_AGE_S: Final = 6.0
 REORDER_DELAY_S: Final = 5.0
-SPREAD_S: Final = 2.0
+DEFAULT_SPREAD_S: Final = 2.0
 
 
-async def give_orders(agent: Agent) -> None:
-    """Give the engine what it is due, until cancelled; a plain service is due nothing."""
+async def send_due_orders(agent: Agent) -> None:
+    """Send the engine its due orders until cancelled; return at once for a plain service."""
     if agent.cfg["upstream"]["kind"] != "engine":
         return
     not_before: dict[LoadOrder, float] = {}
     while True:
-        await curio.sleep(PERIOD_S)
+        await curio.sleep(POLL_INTERVAL_S)
         now = clock.now()
         doc = agent.conf.doc
-        if doc is None or not agent.up or now - agent.conf.last_contact_at > FRESH_S:
+        if (
+            doc is None
+            or not agent.upstream_up
+            or now - agent.conf.last_contact_at > MAX_CONTACT_AGE_S
+        ):
             continue
         served: set[ModelVersion] = {parse_model(text) for text in agent.versions}
         due = orders_due(doc, served)
-        not_before = {order: at for order, at in not_before.items() if order in due}
+        not_before = {order: send_at for order, send_at in not_before.items() if order in due}
         for order in due:
-            spread_s = agent.cfg.get("order_spread_s", SPREAD_S)
-            at = not_before.setdefault(order, now + random.uniform(0, spread_s))
-            if now >= at:
-                not_before[order] = now + await _give(agent, order)
-
-
-async def _give(agent: Agent, order: LoadOrder) -> float:
-    """Give one order; seconds until it may be given again if nothing came of it."""
-    out = await order_load(agent.pool, agent.cfg["upstream"]["addr"], order)
-    if isinstance(out, OrderRefused):
-        logger.info("order to load {} not taken: {}", order.mv.text, out.reason)
-        return max(REORDER_DELAY_S * random.uniform(0.5, 1.0), out.retry_after_s)
-    logger.info("ordered to load {} under fence {}", order.mv.text, order.fence)
+            spread_s = agent.cfg.get("order_spread_s", DEFAULT_SPREAD_S)
+            send_at = not_before.setdefault(order, now + random.uniform(0, spread_s))
+            if now >= send_at:
+                not_before[order] = now + await _send_order(agent, order)
+
+
+async def _send_order(agent: Agent, order: LoadOrder) -> float:
+    """Send an order; return the seconds until it may be sent again if it has had no effect."""
+    result = await send_load_order(agent.pool, agent.cfg["upstream"]["addr"], order)
+    if isinstance(result, OrderRefused):
+        logger.info("order to load {} not taken: {}", order.mv.text, result.reason)
+        return max(REORDER_DELAY_S * random.uniform(0.5, 1.0), result.retry_after_s)
+    logger.info("ordered the engine to load {} with fence {}", order.mv.text, order.fence)
     return REORDER_DELAY_S
--- a/ramppost/agent/runner.py
+++ b/ramppost/agent/runner.py
@@ -1,4 +1,4 @@
-"""Runs an admitted attempt at the upstream, and keeps a witness copy of its bill."""
+"""Runs admitted attempts at the upstream and keeps a copy of each bill until it is settled."""
 
 from __future__ import annotations
 
@@ -9,8 +9,15 @@
 
 from ramppost import clock
 from ramppost.agent.attempts import Attempt
-from ramppost.agent.engine import Broke, Lost, NotBegun, Ran, cancel_run, run_engine
-from ramppost.agent.service import Answered, run_service
+from ramppost.agent.engine import (
+    NotStarted,
+    OutcomeUnknown,
+    RunCompleted,
+    RunFailed,
+    cancel_run,
+    run_engine,
+)
+from ramppost.agent.service import ServiceResponse, run_service
 from ramppost.agent.state import Agent
 from ramppost.policy.admission import LOWEST_PRIORITY, Queued, QueuedRequest, Rejected
 from ramppost.policy.pace import Timing
@@ -18,32 +25,32 @@
 from ramppost.policy.rollout import OutcomeCounts
 from ramppost.schema.messages import BillLine, End, RunMsg
 
-TOKENS_PER_PRICE: Final = 1000
-DOWN_RETRY_S: Final = 1.0
+TOKENS_PER_PRICE_UNIT: Final = 1000
+UPSTREAM_DOWN_RETRY_S: Final = 1.0
 
 
-class Clock:
-    """Times the tokens of a run."""
+class TokenTimer:
+    """Records when the tokens of a run arrive."""
 
     def __init__(self) -> None:
         self.began = clock.now()
         self.first = self.last = self.began
         self.tokens = 0
 
-    def token(self, now: float) -> None:
-        """A token came."""
+    def record_token(self, now: float) -> None:
+        """Record a token that arrived at `now`."""
         self.first = self.first if self.tokens else now
         self.last = now
         self.tokens += 1
 
     def timing(self) -> Timing:
-        """Of the run so far."""
+        """The time to the first token and the mean gap between tokens so far."""
         gaps = max(1, self.tokens - 1)
         return Timing(self.first - self.began, (self.last - self.first) / gaps)
 
 
-def refusal_now(agent: Agent, msg: RunMsg) -> str:
-    """Why this may not be run now by the configuration in force; empty where it may."""
+def refusal_reason(agent: Agent, msg: RunMsg) -> str:
+    """Why the configuration in force does not allow the request; empty if it does."""
     doc = agent.conf.doc
     if doc is None:
         return "not_ready"
@@ -53,38 +60,38 @@
     return denial_reason(doc, msg["workspace"], ModelVersion(msg["model"], msg["version"]))
 
 
-async def take_in(agent: Agent, item: Attempt, msg: RunMsg) -> None:
-    """Give the attempt a slot or a place in line and start its task, or refuse it."""
+async def admit_or_queue(agent: Agent, item: Attempt, msg: RunMsg) -> None:
+    """Give the attempt a slot or queue it, and start its task; refuse it if the queue is full."""
     now = clock.now()
-    who = QueuedRequest(item.attempt, msg["priority"], now + msg["deadline_ms"] / 1000)
-    got = agent.admission.request_slot(who, now)
-    if isinstance(got, Rejected):
-        await item.refuse("full", got.retry_after_s)
+    queued_request = QueuedRequest(item.attempt, msg["priority"], now + msg["deadline_ms"] / 1000)
+    decision = agent.admission.request_slot(queued_request, now)
+    if isinstance(decision, Rejected):
+        await item.refuse("full", decision.retry_after_s)
         return
-    if isinstance(got, Queued):
-        if got.evicted is not None:
-            await _put_out(agent, got.evicted)
+    if isinstance(decision, Queued):
+        if decision.evicted is not None:
+            await _evict(agent, decision.evicted)
     else:
-        item.entered = True
-        await item.turn.set()
-    item.task = await curio.spawn(_run, agent, item, msg, who.deadline, daemon=True)
+        item.has_slot = True
+        await item.slot_granted.set()
+    item.task = await curio.spawn(_run, agent, item, msg, queued_request.deadline, daemon=True)
 
 
-async def _put_out(agent: Agent, name: str) -> None:
-    """Someone of lower priority has to leave the line."""
-    other = agent.attempts.get(name)
-    if other is not None and other.task is not None:
+async def _evict(agent: Agent, name: str) -> None:
+    """Refuse a queued attempt of lower priority that was evicted for another."""
+    evicted_attempt = agent.attempts.get(name)
+    if evicted_attempt is not None and evicted_attempt.task is not None:
         wait_s = agent.admission.retry_after(LOWEST_PRIORITY)
-        await other.refuse("full", wait_s)
-        await other.task.cancel(blocking=False)
+        await evicted_attempt.refuse("full", wait_s)
+        await evicted_attempt.task.cancel(blocking=False)
 
 
 async def _run(agent: Agent, item: Attempt, msg: RunMsg, deadline: float) -> None:
-    if not await _wait_turn(agent, item, deadline):
+    if not await _wait_for_slot(agent, item, deadline):
         return
-    started = clock.now()
+    started_at = clock.now()
     try:
-        reason = "cancelled" if item.cancelled else refusal_now(agent, msg)
+        reason = "cancelled" if item.cancelled else refusal_reason(agent, msg)
         if reason:
             await item.refuse(reason)
         elif msg["service"]:
@@ -92,27 +99,27 @@
         else:
             await _run_model(agent, item, msg)
     finally:
-        ran_s = clock.now() - started if item.end is not None else None
-        follower = agent.admission.release_slot(ran_s)
-        if follower is not None:
-            await _enter(agent, follower)
+        ran_s = clock.now() - started_at if item.end is not None else None
+        next_request = agent.admission.release_slot(ran_s)
+        if next_request is not None:
+            await _grant_slot(agent, next_request)
 
 
-async def _enter(agent: Agent, who: QueuedRequest) -> None:
-    """Tell who waited that it has the slot now."""
-    item = agent.attempts.get(who.name)
+async def _grant_slot(agent: Agent, queued_request: QueuedRequest) -> None:
+    """Give the freed slot to a queued attempt and wake its task."""
+    item = agent.attempts.get(queued_request.name)
     if item is not None:
-        item.entered = True
-        await item.turn.set()
+        item.has_slot = True
+        await item.slot_granted.set()
 
 
-async def _wait_turn(agent: Agent, item: Attempt, deadline: float) -> bool:
-    """Wait for a slot; false if the deadline came first or it was cancelled."""
-    left = max(0.0, deadline - clock.now())
+async def _wait_for_slot(agent: Agent, item: Attempt, deadline: float) -> bool:
+    """Wait for a slot; false if the deadline passed first, in which case the attempt is refused."""
+    remaining_s = max(0.0, deadline - clock.now())
     try:
-        await curio.timeout_after(left, item.turn.wait())
+        await curio.timeout_after(remaining_s, item.slot_granted.wait())
     except curio.TaskTimeout:
-        if item.entered:
+        if item.has_slot:
             return True
         agent.admission.remove(item.attempt)
         wait_s = agent.admission.retry_after(LOWEST_PRIORITY)
@@ -125,47 +132,51 @@
     mv = ModelVersion(msg["model"], msg["version"])
     upstream = agent.cfg["upstream"]
     exact = upstream.get("exact_stream", False)
-    pace = Clock()
+    timer = TokenTimer()
 
     async def add(text: str) -> None:
-        pace.token(clock.now())
-        await item.add(text)
+        timer.record_token(clock.now())
+        await item.add_frame(text)
 
-    out = await run_engine(agent.pool, upstream["addr"], msg, exact, item.admit, add)
-    if isinstance(out, NotBegun):
-        await item.refuse("upstream_down", DOWN_RETRY_S)
+    result = await run_engine(agent.pool, upstream["addr"], msg, exact, item.admit, add)
+    if isinstance(result, NotStarted):
+        await item.refuse("upstream_down", UPSTREAM_DOWN_RETRY_S)
         return
-    if isinstance(out, Broke | Lost):
-        agent.count(mv, OutcomeCounts(bad=1))
-        logger.warning("attempt {} failed: {}", item.attempt, out.reason)
+    if isinstance(result, RunFailed | OutcomeUnknown):
+        agent.record_outcome(mv, OutcomeCounts(bad=1))
+        logger.warning("attempt {} failed: {}", item.attempt, result.reason)
         await item.admit()
-        state = "lost" if isinstance(out, Lost) else "failed"
-        await item.finish(_end(state, out.reason, tokens_out=len(item.frames)))
+        state = "lost" if isinstance(result, OutcomeUnknown) else "failed"
+        await item.finish(_end_message(state, result.reason, tokens_out=len(item.frames)))
         return
-    agent.count(mv, OutcomeCounts(ok=1, slow=int(agent.slow(mv, pace.timing()))))
-    state = "cancelled" if item.cancelled or out.finish == "cancelled" else "done"
-    cost = out.tokens_out * agent.price(msg["model"]) / TOKENS_PER_PRICE
-    _keep_bill(agent, item, msg, out.tokens_out, cost)
-    await item.finish(_ended(state, out, cost))
+    agent.record_outcome(mv, OutcomeCounts(ok=1, slow=int(agent.is_slow(mv, timer.timing()))))
+    state = "cancelled" if item.cancelled or result.finish == "cancelled" else "done"
+    cost = result.tokens_out * agent.price(msg["model"]) / TOKENS_PER_PRICE_UNIT
+    _keep_bill(agent, item, msg, result.tokens_out, cost)
+    await item.finish(_completed_end(state, result, cost))
 
 
 async def _run_service(agent: Agent, item: Attempt, msg: RunMsg) -> None:
-    out = await run_service(agent.pool, agent.cfg["upstream"]["addr"], msg)
-    if isinstance(out, NotBegun):
-        await item.refuse("upstream_down", DOWN_RETRY_S)
+    result = await run_service(agent.pool, agent.cfg["upstream"]["addr"], msg)
+    if isinstance(result, NotStarted):
+        await item.refuse("upstream_down", UPSTREAM_DOWN_RETRY_S)
         return
     await item.admit()
-    if isinstance(out, Broke | Lost):
-        await item.finish(_end("lost" if isinstance(out, Lost) else "failed", out.reason))
+    if isinstance(result, RunFailed | OutcomeUnknown):
+        await item.finish(
+            _end_message("lost" if isinstance(result, OutcomeUnknown) else "failed", result.reason)
+        )
         return
-    assert isinstance(out, Answered)
+    assert isinstance(result, ServiceResponse)
     _keep_bill(agent, item, msg, 0, 0.0)
-    await item.add(out.body)
-    await item.finish(_end("done", "", status=out.status, content_type=out.content_type))
+    await item.add_frame(result.body)
+    await item.finish(
+        _end_message("done", "", status=result.status, content_type=result.content_type)
+    )
 
 
 def _keep_bill(agent: Agent, item: Attempt, msg: RunMsg, tokens: int, cost: float) -> None:
-    """Keep the bill until the entry says that it is in the ledger."""
+    """Keep a copy of the bill until the entry reports that it is in the ledger."""
     line = BillLine(
         request_id=msg["request_id"],
         attempt=msg["attempt"],
@@ -175,10 +186,10 @@
         tokens=tokens,
         cost=cost,
     )
-    agent.witness[item.attempt] = (clock.now(), line)
+    agent.unsettled_bills[item.attempt] = (clock.now(), line)
 
 
-def _end(
+def _end_message(
     state: str,
     reason: str,
     status: int = 200,
@@ -198,20 +209,23 @@
     )
 
 
-def _ended(state: str, out: Ran, cost: float) -> End:
-    end = _end(state, out.finish, tokens_out=out.tokens_out)
-    end["tokens_in"] = out.tokens_in
+def _completed_end(state: str, result: RunCompleted, cost: float) -> End:
+    end = _end_message(state, result.finish, tokens_out=result.tokens_out)
+    end["tokens_in"] = result.tokens_in
     end["cost"] = cost
-    end["confidence"] = out.confidence
+    end["confidence"] = result.confidence
     return end
 
 
-async def cancel(agent: Agent, item: Attempt) -> None:
-    """Nobody wants an attempt any more: out of the line, or stopped at the engine."""
-    if item.over_at or item.cancelled:
+async def cancel_attempt(agent: Agent, item: Attempt) -> None:
+    """Cancel an attempt that nobody reads any more.
+
+    It is removed from the queue, or the engine is asked to cancel its run.
+    """
+    if item.ended_at or item.cancelled:
         return
     item.cancelled = True
-    if item.state == "waiting" and not item.entered:
+    if item.state == "waiting" and not item.has_slot:
         agent.admission.remove(item.attempt)
         await item.refuse("cancelled")
         if item.task is not None:
--- a/ramppost/agent/state.py
+++ b/ramppost/agent/state.py
@@ -18,13 +18,13 @@
 
 
 class Agent:
-    """Everything an agent holds; all of it may be lost at any time."""
+    """The in-memory state of an agent; nothing is persisted, so a crash may lose all of it."""
 
     def __init__(self, cfg: AgentSettings) -> None:
         self.cfg = cfg
-        where = cfg["listen"]
-        self.name = ids.new_incarnation(cfg.get("advertise", f"{where['host']}:{where['port']}"))
-        self.pool = Pool(where["host"])
+        listen = cfg["listen"]
+        self.name = ids.new_incarnation(cfg.get("advertise", f"{listen['host']}:{listen['port']}"))
+        self.pool = Pool(listen["host"])
         self.client = Client(cfg["platform"], self.pool)
         self.conf = ConfigState()
         self.keep_s = cfg.get("keep_s", 600.0)
@@ -32,71 +32,79 @@
         upstream = cfg["upstream"]
         reserved = upstream.get("reserved", 0)
         self.admission = Admission(upstream["slots"], cfg.get("queue", 64), reserved)
-        self.filer = LedgerWriter(self.client, self.name, 1.0, self._filed)
-        self.witness: dict[str, tuple[float, BillLine]] = {}
+        self.filer = LedgerWriter(self.client, self.name, 1.0, self._on_bills_filed)
+        self.unsettled_bills: dict[str, tuple[float, BillLine]] = {}
         self.counts: dict[CountKey, OutcomeCounts] = {}
-        self.paces: dict[str, TimingBaseline] = {}
+        self.timing_baselines: dict[str, TimingBaseline] = {}
         self.versions: list[str] = []
-        self.up = False
+        self.upstream_up = False
         self.leaving = False
         self.meter = Meter()
-        self.started = clock.now()
+        self.started_at = clock.now()
 
     @property
     def epoch(self) -> int:
-        """The present epoch of tickets: half of `keep_s` each."""
-        return int((clock.now() - self.started) / (self.keep_s / 2))
+        """The current epoch of tickets; an epoch lasts half of `keep_s`."""
+        return int((clock.now() - self.started_at) / (self.keep_s / 2))
 
     @property
     def ticket(self) -> str:
-        """What an entry must name in a run message."""
+        """The ticket that an entry must name in a run message."""
         return ids.format_ticket(self.name, self.epoch)
 
-    def admits(self, text: str) -> bool:
-        """Whether a ticket is ours and of this epoch or the one before."""
-        got = ids.parse_ticket(text)
-        return got.incarnation == self.name and self.epoch - 1 <= got.epoch <= self.epoch
+    def accepts_ticket(self, text: str) -> bool:
+        """Whether this agent issued a ticket, in the current epoch or the one before."""
+        ticket = ids.parse_ticket(text)
+        return ticket.incarnation == self.name and self.epoch - 1 <= ticket.epoch <= self.epoch
 
     def load(self) -> Load:
-        """The load now."""
-        adm = self.admission
-        drain = adm.drain_per_s()
-        return Load(running=adm.running, waiting=adm.waiting, slots=adm.slots, drain_per_s=drain)
+        """The current load, as sent to entries."""
+        admission = self.admission
+        drain_per_s = admission.drain_per_s()
+        return Load(
+            running=admission.running,
+            waiting=admission.waiting,
+            slots=admission.slots,
+            drain_per_s=drain_per_s,
+        )
 
-    def count(self, mv: ModelVersion, fresh: OutcomeCounts) -> None:
-        """Count how a version did; of its roll-outs only the last is kept."""
-        what = count_key_of(self.conf.doc, mv) if self.conf.doc else CountKey(mv, 0)
-        for other in [c for c in self.counts if c.mv == mv and 0 < c.since < what.since]:
+    def record_outcome(self, mv: ModelVersion, outcome: OutcomeCounts) -> None:
+        """Add to the counts of a version; only the counts of its latest roll-out are kept."""
+        count_key = count_key_of(self.conf.doc, mv) if self.conf.doc else CountKey(mv, 0)
+        for other in [c for c in self.counts if c.mv == mv and 0 < c.since < count_key.since]:
             del self.counts[other]
-        self.counts[what] = add_counts(self.counts.get(what, OutcomeCounts()), fresh)
+        self.counts[count_key] = add_counts(self.counts.get(count_key, OutcomeCounts()), outcome)
 
-    def slow(self, mv: ModelVersion, seen: Timing) -> bool:
-        """Whether an answer was slow for its model; the stable version's say what is usual."""
-        pace = self.paces.setdefault(mv.model, TimingBaseline())
-        slow = pace.is_slow(seen)
+    def is_slow(self, mv: ModelVersion, timing: Timing) -> bool:
+        """Whether an answer was slow for its model.
+
+        The baseline of a model is taken from the answers of its stable version.
+        """
+        baseline = self.timing_baselines.setdefault(mv.model, TimingBaseline())
+        slow = baseline.is_slow(timing)
         if self.conf.doc is not None and version_state(self.conf.doc, mv) == "stable":
-            pace.record(seen)
+            baseline.record(timing)
         return slow
 
-    def count_list(self) -> list[VersionCount]:
-        """Counts by version since the start."""
+    def outcome_counts(self) -> list[VersionCount]:
+        """The counts by version and roll-out since the process started."""
         return [
             VersionCount(
-                model=what.mv.model,
-                version=what.mv.version,
-                since=what.since,
-                ok=x.ok,
-                bad=x.bad,
-                slow=x.slow,
+                model=count_key.mv.model,
+                version=count_key.mv.version,
+                since=count_key.since,
+                ok=outcomes.ok,
+                bad=outcomes.bad,
+                slow=outcomes.slow,
             )
-            for what, x in self.counts.items()
+            for count_key, outcomes in self.counts.items()
         ]
 
     def price(self, model: str) -> float:
-        """Price of a thousand tokens."""
-        found = model_named(self.conf.doc, model) if self.conf.doc else None
-        return found["price"] if found else 0.0
+        """The price of a thousand tokens of a model; 0 if the model is unknown."""
+        model_config = model_named(self.conf.doc, model) if self.conf.doc else None
+        return model_config["price"] if model_config else 0.0
 
-    async def _filed(self, lines: list[BillLine]) -> None:
+    async def _on_bills_filed(self, lines: list[BillLine]) -> None:
         for line in lines:
-            self.witness.pop(line["attempt"], None)
+            self.unsettled_bills.pop(line["attempt"], None)
--- a/ramppost/gateway/copies.py
+++ b/ramppost/gateway/copies.py
@@ -80,7 +80,7 @@
     >>> decode_copy("main", encode_copy(StoredObject("main", 7, {"version": 1}, None)))
     StoredObject(name='main', revision=7, spec={'version': 1}, status=None, whole=True)
     >>> decode_copy("main", b"no copy")  # doctest: +ELLIPSIS
-    BadMessage(reason='not unpacked: Error -3 ... incorrect header check')
+    BadMessage(reason='decompression failed: Error -3 ... incorrect header check')
     """
     body = packing.unpack(data)
     if isinstance(body, BadMessage):
--- a/ramppost/wire/addr.py
+++ b/ramppost/wire/addr.py
@@ -1,4 +1,4 @@
-"""Addresses as they stand in settings and documents: an IPv4 number and a port."""
+"""Network addresses in settings and documents: an IPv4 address and a port."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from typing import Final
 
 MAX_PORT: Final = 65535
-PORT_DIGITS: Final = 5
+MAX_PORT_DIGITS: Final = 5
 
 
 def is_address(text: str) -> bool:
-    """Whether a connection can be tried to this.
+    """Whether a text is an IPv4 address with a port that can be connected to.
 
     >>> is_address("10.0.0.1:80")
     True
@@ -18,7 +18,7 @@
     [False, False, False, False]
     """
     host, _, port = text.rpartition(":")
-    if not (port.isascii() and port.isdecimal() and len(port) <= PORT_DIGITS):
+    if not (port.isascii() and port.isdecimal() and len(port) <= MAX_PORT_DIGITS):
         return False
     try:
         socket.inet_pton(socket.AF_INET, host)
--- a/ramppost/wire/client.py
+++ b/ramppost/wire/client.py
@@ -1,8 +1,8 @@
-"""An HTTP/1.1 client: h11 over curio, with connections kept for reuse.
+"""An HTTP/1.1 client that runs h11 on curio, with a pool of idle connections.
 
-`call` reads a whole answer within a time; `fetch` gives an answer of any size as long as
-its bytes keep coming; `open_stream` gives an answer to be read line by line.  A failure is a
-value, `CallFailed`, that says whether the request may have reached the other side.
+`call` reads a complete response within a timeout; `fetch` allows a large response more time as
+long as it keeps receiving bytes; `open_stream` returns a response that is read line by line.  A
+failure is returned as a `CallFailed`, which tells whether the request may have reached the server.
 """
 
 from __future__ import annotations
@@ -18,23 +18,24 @@
 from ramppost import clock
 
 READ_SIZE: Final = 65536
-MAX_IDLE: Final = 32
-MAX_LINE: Final = 8 * 1024 * 1024
+MAX_IDLE_PER_ADDRESS: Final = 32
+MAX_LINE_BYTES: Final = 8 * 1024 * 1024
 CONNECT_TIMEOUT_S: Final = 2.0
 STALL_TIMEOUT_S: Final = 1.5
-"""Silence in the middle of an answer after which it is given up: longer than a lost packet that
-is sent again twice, and than a process that waits for its processor."""
-SLOWEST_BPS: Final = 50_000.0
-"""Bytes a second that any link has left for one transfer: a twelfth of one of 0.6 MB/s."""
-LONGEST_FETCH_S: Final = 20.0
-"""A megabyte at that rate; an answer that trickles for longer is worth beginning anew."""
-UNSPECIFIED: Final = ("", "0.0.0.0")
+"""The read of a body is abandoned if no bytes arrive for this time.  It is longer than two
+retransmissions of a lost packet take, and than a process waits to be scheduled."""
+MIN_BYTES_PER_S: Final = 50_000.0
+"""The least throughput that a transfer is expected to get, in bytes per second: a twelfth of a link
+of 0.6 MB/s."""
+MAX_BODY_READ_S: Final = 20.0
+"""The time for 1 MB at `MIN_BYTES_PER_S`; a slower response is better requested again."""
+UNSPECIFIED_HOSTS: Final = ("", "0.0.0.0")
 
 
 class CallFailed(NamedTuple):
-    """A call without an answer; `sent` is false only if nothing can have arrived.
+    """A call without a complete response; `sent` is false only if nothing can have arrived.
 
-    `refused` is true where the box answered that nobody listens at the address.
+    `refused` is true if the box refused the connection because nothing listens at the address.
     """
 
     reason: str
@@ -43,15 +44,15 @@
 
 
 class Response(NamedTuple):
-    """A whole answer; header names are in lower case."""
+    """A complete response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
 
-class _Link:
-    """A connection and its protocol state."""
+class _Connection:
+    """A connection and its HTTP protocol state."""
 
     def __init__(self, sock: Any) -> None:
         self.sock = sock
@@ -59,54 +60,54 @@
 
 
 def readable(fd: int) -> bool:
-    """Whether bytes, an end or an error have come in on a file descriptor."""
+    """Whether a file descriptor has data, an end of file or an error to read."""
     poller = select.poll()
     poller.register(fd, select.POLLIN | select.POLLHUP | select.POLLERR)
     return bool(poller.poll(0))
 
 
 class Pool:
-    """Idle connections by address, and the bytes that went over all of them.
+    """Idle connections by address, and the bytes sent and received on all connections.
 
-    Connections leave from the address `source`, where one is given: a box with
-    several is known to others by the one that it listens on.
+    Connections are made from the address `source` if one is given, because other boxes know a box
+    with several addresses by the one that it listens on.
     """
 
     def __init__(self, source: str = "") -> None:
-        self.source = None if source in UNSPECIFIED else (source, 0)
-        self.idle_connections: dict[str, list[_Link]] = {}
+        self.source = None if source in UNSPECIFIED_HOSTS else (source, 0)
+        self.idle_connections: dict[str, list[_Connection]] = {}
         self.bytes_out = 0
         self.bytes_in = 0
 
-    def take_idle(self, addr: str) -> _Link | None:
-        """An idle connection that the other side has not closed."""
-        links = self.idle_connections.get(addr, [])
-        while links:
-            link = links.pop()
-            if not readable(link.sock.fileno()):
-                return link
-            link.sock._socket.close()
+    def take_idle(self, addr: str) -> _Connection | None:
+        """Take an idle connection that the peer has not closed, if there is one."""
+        connections = self.idle_connections.get(addr, [])
+        while connections:
+            connection = connections.pop()
+            if not readable(connection.sock.fileno()):
+                return connection
+            connection.sock._socket.close()
         return None
 
-    def return_idle(self, addr: str, link: _Link) -> bool:
-        """Keep a connection for reuse; false if it can't be."""
-        if link.h11.our_state is not h11.DONE or link.h11.their_state is not h11.DONE:
+    def return_idle(self, addr: str, connection: _Connection) -> bool:
+        """Keep a connection for reuse; false if it can't be reused or the pool is full."""
+        if connection.h11.our_state is not h11.DONE or connection.h11.their_state is not h11.DONE:
             return False
-        links = self.idle_connections.setdefault(addr, [])
-        if len(links) >= MAX_IDLE:
+        connections = self.idle_connections.setdefault(addr, [])
+        if len(connections) >= MAX_IDLE_PER_ADDRESS:
             return False
-        link.h11.start_next_cycle()
-        links.append(link)
+        connection.h11.start_next_cycle()
+        connections.append(connection)
         return True
 
     def close_idle(self, addr: str) -> None:
         """Close the idle connections to an address.
 
-        One that says nothing more without being closed is seldom alone: all that were open may
-        have gone silent at once, and each would cost a call's whole time.
+        If one connection stops responding without being closed, all that were open to the address
+        have often failed at once, and each would cost a call its full timeout.
         """
-        for link in self.idle_connections.pop(addr, []):
-            link.sock._socket.close()
+        for connection in self.idle_connections.pop(addr, []):
+            connection.sock._socket.close()
 
     def close_all_idle(self) -> None:
         """Close all idle connections."""
@@ -115,30 +116,30 @@
 
 
 class Stream:
-    """An answer being read.  Close it when done, read to the end or not."""
+    """A response that is being read.  It must be closed, whether it was read to the end or not."""
 
-    def __init__(self, pool: Pool, addr: str, link: _Link) -> None:
+    def __init__(self, pool: Pool, addr: str, connection: _Connection) -> None:
         self._pool = pool
         self._addr = addr
-        self._link = link
-        self._buf = bytearray()
+        self._connection = connection
+        self._buffer = bytearray()
         self._ended = False
         self.status = 0
         self.headers: dict[str, str] = {}
 
     async def read_head(self) -> None:
-        """Read up to the end of the head; raises OSError on a cut."""
-        event = await self._event()
+        """Read the status and the headers; raises OSError if the connection fails."""
+        event = await self._next_event()
         if not isinstance(event, h11.Response):
             raise ConnectionResetError("connection closed before the answer")
         self.status = event.status_code
         self.headers = {k.decode("latin-1"): v.decode("latin-1") for k, v in event.headers}
 
-    async def read_piece(self) -> bytes:
-        """The next bytes of the body, empty at its end; raises OSError on a cut."""
+    async def read_chunk(self) -> bytes:
+        """The next bytes of the body, empty at its end; raises OSError if the connection fails."""
         if self._ended:
             return b""
-        event = await self._event()
+        event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
@@ -147,45 +148,48 @@
         raise ConnectionResetError("connection closed within the answer")
 
     async def read_line(self) -> bytes:
-        """The next line without its end, empty at the end; raises OSError on a cut."""
+        """The next non-empty line without its line feed, or empty bytes at the end of the body.
+
+        Raises OSError if the connection fails or the line is too long.
+        """
         while True:
-            end = self._buf.find(b"\n")
+            end = self._buffer.find(b"\n")
             if end >= 0:
-                line = bytes(self._buf[:end])
-                del self._buf[: end + 1]
+                line = bytes(self._buffer[:end])
+                del self._buffer[: end + 1]
                 if line.strip():
                     return line
                 continue
-            piece = await self.read_piece()
-            if not piece:
+            chunk = await self.read_chunk()
+            if not chunk:
                 return b""
-            self._buf += piece
-            if len(self._buf) > MAX_LINE:
+            self._buffer += chunk
+            if len(self._buffer) > MAX_LINE_BYTES:
                 raise ConnectionResetError("line too long")
 
     async def drain(self) -> None:
-        """Read what is left, so that the connection can be kept; a cut is no matter."""
+        """Read the rest of the body, so that the connection can be reused; failures are ignored."""
         try:
-            while await self.read_piece():
+            while await self.read_chunk():
                 pass
         except OSError:
             self._ended = True
 
     async def close(self) -> None:
-        """Keep the connection for reuse where it was read to its end, else close it."""
-        if not self._pool.return_idle(self._addr, self._link):
-            await self._link.sock.close()
+        """Return the connection to the pool if the response was read to its end, else close it."""
+        if not self._pool.return_idle(self._addr, self._connection):
+            await self._connection.sock.close()
 
-    async def _event(self) -> Any:
+    async def _next_event(self) -> Any:
         while True:
             try:
-                event = self._link.h11.next_event()
+                event = self._connection.h11.next_event()
             except h11.RemoteProtocolError as exc:
                 raise ConnectionResetError(str(exc)) from exc
             if event is h11.NEED_DATA:
-                data = await self._link.sock.recv(READ_SIZE)
+                data = await self._connection.sock.recv(READ_SIZE)
                 self._pool.bytes_in += len(data)
-                self._link.h11.receive_data(data)
+                self._connection.h11.receive_data(data)
             elif not isinstance(event, h11.InformationalResponse):
                 return event
 
@@ -199,35 +203,35 @@
     timeout_s: float = 5.0,
     headers: tuple[tuple[str, str], ...] = (),
 ) -> Stream | CallFailed:
-    """Send a request and read the head of its answer within `timeout_s`."""
-    link = pool.take_idle(addr)
-    if link is None:
+    """Send a request and read the head of its response within `timeout_s`."""
+    connection = pool.take_idle(addr)
+    if connection is None:
         sock = await connect(addr, pool.source, min(timeout_s, CONNECT_TIMEOUT_S))
         if isinstance(sock, CallFailed):
             return sock
-        link = _Link(sock)
+        connection = _Connection(sock)
     head = h11.Request(
         method=method,
         target=path,
         headers=[("host", addr), ("content-length", str(len(body))), *headers],
     )
-    data = (link.h11.send(head) or b"") + (link.h11.send(h11.Data(data=body)) or b"")
-    data += link.h11.send(h11.EndOfMessage()) or b""
-    stream = Stream(pool, addr, link)
+    data = (connection.h11.send(head) or b"") + (connection.h11.send(h11.Data(data=body)) or b"")
+    data += connection.h11.send(h11.EndOfMessage()) or b""
+    stream = Stream(pool, addr, connection)
     try:
         async with curio.timeout_after(timeout_s):
-            await link.sock.sendall(data)
+            await connection.sock.sendall(data)
             pool.bytes_out += len(data)
             await stream.read_head()
     except curio.TaskTimeout:
-        await link.sock.close()
+        await connection.sock.close()
         pool.close_idle(addr)
         return CallFailed(f"no answer from {addr} in {timeout_s:g} s", True)
     except OSError as exc:
-        await link.sock.close()
+        await connection.sock.close()
         return CallFailed(f"{addr}: {exc}", True)
     except curio.CancelledError:
-        await link.sock.close()
+        await connection.sock.close()
         raise
     return stream
 
@@ -241,9 +245,9 @@
     timeout_s: float = 5.0,
     headers: tuple[tuple[str, str], ...] = (),
 ) -> Response | CallFailed:
-    """Send a request and read its whole answer within `timeout_s`."""
-    opening = open_stream(pool, addr, method, path, body, timeout_s, headers)
-    return await _read_whole(pool, addr, opening, timeout_s, None)
+    """Send a request and read its complete response within `timeout_s`."""
+    pending_stream = open_stream(pool, addr, method, path, body, timeout_s, headers)
+    return await _read_response(pool, addr, pending_stream, timeout_s, None)
 
 
 async def fetch(
@@ -254,49 +258,52 @@
     body: bytes = b"",
     timeout_s: float = 5.0,
     headers: tuple[tuple[str, str], ...] = (),
-    begun: Callable[[], None] = lambda: None,
+    on_head: Callable[[], None] = lambda: None,
 ) -> Response | CallFailed:
-    """Send a request, read the head of its answer within `timeout_s` and then the body; `begun`
-    is called in between.
+    """Send a request, read the head of its response within `timeout_s`, and then read the body.
 
-    The time for the head grows with what is sent, and the body may take as long as bytes keep
-    coming.  Where 0.87 MB went over a link of 0.6 MB/s, a limit of 1 s for the whole gave up
-    each transfer and began it anew for ever.
+    `on_head` is called between the two.  The timeout of the head grows with the size of the request
+    body.  The read of the response body is abandoned if no bytes arrive for `STALL_TIMEOUT_S`, or
+    after `MAX_BODY_READ_S`.  With a limit of 1 s for the complete response, a transfer of 0.87 MB
+    over a link of 0.6 MB/s was aborted and restarted for ever.
     """
-    head_s = timeout_s + len(body) / SLOWEST_BPS
-    opening = open_stream(pool, addr, method, path, body, head_s, headers)
-    return await _read_whole(pool, addr, opening, head_s + LONGEST_FETCH_S, STALL_TIMEOUT_S, begun)
+    head_s = timeout_s + len(body) / MIN_BYTES_PER_S
+    pending_stream = open_stream(pool, addr, method, path, body, head_s, headers)
+    return await _read_response(
+        pool, addr, pending_stream, head_s + MAX_BODY_READ_S, STALL_TIMEOUT_S, on_head
+    )
 
 
-async def _read_whole(
+async def _read_response(
     pool: Pool,
     addr: str,
-    opening: Awaitable[Stream | CallFailed],
-    longest_s: float,
-    stall_s: float | None,
-    begun: Callable[[], None] = lambda: None,
+    pending_stream: Awaitable[Stream | CallFailed],
+    max_total_s: float,
+    stall_timeout_s: float | None,
+    on_head: Callable[[], None] = lambda: None,
 ) -> Response | CallFailed:
-    """The whole answer of a request that is being sent.
+    """Send the request of `pending_stream` and read the complete response.
 
-    It is given up after `longest_s` in all, or when no piece of the body comes for `stall_s`.
+    The read is abandoned after `max_total_s` in all, or if no bytes of the body arrive for
+    `stall_timeout_s`.
     """
     stream: Stream | CallFailed | None = None
     data = bytearray()
-    began = clock.now()
+    started_at = clock.now()
     try:
-        async with curio.timeout_after(longest_s):
-            stream = await opening
+        async with curio.timeout_after(max_total_s):
+            stream = await pending_stream
             if isinstance(stream, CallFailed):
                 return stream
-            begun()
-            while piece := await _next_piece(stream, stall_s):
-                data += piece
+            on_head()
+            while chunk := await _read_next_chunk(stream, stall_timeout_s):
+                data += chunk
             return Response(stream.status, stream.headers, bytes(data))
     except (curio.TaskTimeout, TimeoutError):
         pool.close_idle(addr)
-        after_s = clock.now() - began
-        read = _progress(stream, data)
-        return CallFailed(f"no whole answer from {addr} in {after_s:.1f} s{read}", True)
+        elapsed_s = clock.now() - started_at
+        progress = _describe_progress(stream, data)
+        return CallFailed(f"no whole answer from {addr} in {elapsed_s:.1f} s{progress}", True)
     except OSError as exc:
         return CallFailed(f"{addr}: {exc}", True)
     finally:
@@ -304,35 +311,35 @@
             await stream.close()
 
 
-async def _next_piece(stream: Stream, stall_s: float | None) -> bytes:
-    """The next bytes of the body; raises TimeoutError where none come for `stall_s`.
+async def _read_next_chunk(stream: Stream, stall_timeout_s: float | None) -> bytes:
+    """The next bytes of the body; raises TimeoutError if none arrive for `stall_timeout_s`.
 
-    A timeout of curio's must not leave the time for the whole around it: that raises
-    UncaughtTimeoutError, which ends the task.
+    The TaskTimeout of an inner curio timeout must not propagate into the outer timeout of the
+    complete response: that raises UncaughtTimeoutError, which ends the task.
     """
-    if stall_s is None:
-        return await stream.read_piece()
+    if stall_timeout_s is None:
+        return await stream.read_chunk()
     try:
-        async with curio.timeout_after(stall_s):
-            return await stream.read_piece()
+        async with curio.timeout_after(stall_timeout_s):
+            return await stream.read_chunk()
     except curio.TaskTimeout as exc:
-        raise TimeoutError(f"silent for {stall_s:g} s") from exc
+        raise TimeoutError(f"silent for {stall_timeout_s:g} s") from exc
 
 
-def _progress(stream: Stream | CallFailed | None, data: bytearray) -> str:
-    """How much of an answer had come, for the reason of a failure; empty before its head."""
+def _describe_progress(stream: Stream | CallFailed | None, data: bytearray) -> str:
+    """How much of a body was read, as part of a failure reason; empty if no head was read."""
     if not isinstance(stream, Stream):
         return ""
     return f", {len(data)} of {stream.headers.get('content-length', '?')} bytes read"
 
 
 async def connect(addr: str, source: tuple[str, int] | None, timeout_s: float) -> Any:
-    """A connected socket, or `CallFailed`: nothing can have arrived.
+    """Return a connected socket, or a `CallFailed` with `sent` false.
 
-    It leaves from the address `source`, where one is given.
+    The socket is bound to the address `source` if one is given.
     """
     host, _, port = addr.rpartition(":")
-    # Not curio.open_connection: it looks names up in a thread, even where there is none.
+    # curio.open_connection resolves host names in a thread, even if the host is an IP address.
     sock = curio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         if source is not None:
--- a/ramppost/wire/codec.py
+++ b/ramppost/wire/codec.py
@@ -1,4 +1,4 @@
-"""Encoding of messages: JSON by msgspec, checked against the generated types."""
+"""JSON encoding of messages with msgspec; decoding validates against the generated types."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 
 class BadMessage(NamedTuple):
-    """Why bytes are not a message of the type wanted, with the path of the fault."""
+    """Why data is not a valid message of the expected type, with the path of the error."""
 
     reason: str
 
 
 def encode(value: Any) -> bytes:
-    """JSON bytes of a message."""
+    """Encode a message as JSON."""
     return msgspec.json.encode(value)
 
 
 def encode_line(value: Any) -> bytes:
-    """A message as one line of a stream."""
+    """Encode a message as a line of newline-delimited JSON."""
     return msgspec.json.encode(value) + b"\n"
 
 
-def decode(data: bytes, kind: type[T]) -> T | BadMessage:
-    """Decode and check a message.
+def decode(data: bytes, message_type: type[T]) -> T | BadMessage:
+    """Decode a message and validate it against its type.
 
     >>> class Line(NamedTuple):
     ...     rev: int
@@ -34,6 +34,6 @@
     BadMessage(reason='Expected `int`, got `str` - at `$[0]`')
     """
     try:
-        return msgspec.json.decode(data, type=kind)
+        return msgspec.json.decode(data, type=message_type)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as exc:
         return BadMessage(str(exc))
--- a/ramppost/wire/messages.py
+++ b/ramppost/wire/messages.py
@@ -1,4 +1,4 @@
-"""Takes a message between our processes from a request, or answers what is wrong with it."""
+"""Decodes the internal message in a request body, or rejects the request as malformed."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 async def handle_message(
-    req: Request, reply: Reply, kind: type[T], then: Callable[[T], Awaitable[None]]
+    req: Request, reply: Reply, message_type: type[T], handle: Callable[[T], Awaitable[None]]
 ) -> None:
-    """Hand the body on as a message of this kind; 400 with the path of the fault if it is none."""
-    msg = decode(req.body, kind)
+    """Call `handle` with the decoded body; send 400 with the path of the error if it is invalid."""
+    msg = decode(req.body, message_type)
     if isinstance(msg, BadMessage):
         await reply.send(400, encode({"error": msg.reason}))
     else:
-        await then(msg)
+        await handle(msg)
--- a/ramppost/wire/packing.py
+++ b/ramppost/wire/packing.py
@@ -1,4 +1,4 @@
-"""Bytes that processes hand each other compressed, with a bound on what they unpack to."""
+"""Compression of data exchanged between processes, with a limit on the decompressed size."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 
 from ramppost.wire.codec import BadMessage
 
-LEVEL: Final = 1
-"""Of compression, the fastest: 3.4 ms for 757 KB of a configuration."""
-MAX_BYTES: Final = 16 * 1024 * 1024
-"""What anything unpacks to at most: many times the largest object that the store takes."""
+COMPRESSION_LEVEL: Final = 1
+"""The fastest level of zlib: it compresses a configuration of 757 KB in 3.4 ms."""
+MAX_UNPACKED_BYTES: Final = 16 * 1024 * 1024
+"""The largest decompressed size: many times that of the largest object that the store accepts."""
 
 
 def pack(data: bytes) -> bytes:
-    """Compressed bytes."""
-    return zlib.compress(data, LEVEL)
+    """Compress data."""
+    return zlib.compress(data, COMPRESSION_LEVEL)
 
 
-def unpack(data: bytes, most: int = MAX_BYTES) -> bytes | BadMessage:
-    """What was packed.
+def unpack(data: bytes, max_bytes: int = MAX_UNPACKED_BYTES) -> bytes | BadMessage:
+    """Decompress data; a BadMessage if it is invalid, truncated or larger than `max_bytes`.
 
     >>> unpack(pack(b"text"))
     b'text'
     >>> unpack(pack(b"text"), 3)
-    BadMessage(reason='packed bytes cut short, or too many')
+    BadMessage(reason='compressed data truncated, or larger than the limit')
     """
-    unpacker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        body = unpacker.decompress(data, most)
+        body = decompressor.decompress(data, max_bytes)
     except zlib.error as exc:
-        return BadMessage(f"not unpacked: {exc}")
-    if not unpacker.eof:
-        return BadMessage("packed bytes cut short, or too many")
+        return BadMessage(f"decompression failed: {exc}")
+    if not decompressor.eof:
+        return BadMessage("compressed data truncated, or larger than the limit")
     return body
--- a/ramppost/wire/server.py
+++ b/ramppost/wire/server.py
@@ -1,8 +1,8 @@
-"""An HTTP/1.1 server: h11 over curio.
+"""An HTTP/1.1 server that runs h11 on curio.
 
-`serve` accepts connections and hands each whole request to a handler together
-with a `Reply` to answer through.  A caller that sends too much, too slowly or
-not HTTP gets the proper status and the process goes on.
+`serve` accepts connections and calls a handler with each complete request and a `Reply` that sends
+the response.  A client that exceeds a size limit, sends too slowly or violates the protocol gets
+an error status; other connections are not affected.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 READ_SIZE: Final = 65536
 IDLE_TIMEOUT_S: Final = 75.0
 ACCEPT_RETRY_S: Final = 0.05
-LINGER_S: Final = 2.0
-BACKLOG: Final = 1024
+LINGER_TIMEOUT_S: Final = 2.0
+ACCEPT_BACKLOG: Final = 1024
 JSON_TYPE: Final = "application/json"
 
 
 class Limits(NamedTuple):
-    """What a client may send: sizes in bytes, time in seconds."""
+    """Limits for clients: sizes in bytes, the time to read a request, and open connections."""
 
     header_bytes: int = 65536
     body_bytes: int = 8 * 1024 * 1024
@@ -37,7 +37,7 @@
 
 
 class Request(NamedTuple):
-    """A whole request; header names are in lower case."""
+    """A complete request; header names are in lower case."""
 
     method: str
     path: str
@@ -47,18 +47,18 @@
 
 
 class BadInput(NamedTuple):
-    """Why a request could not be read, as an HTTP status and a sentence."""
+    """Why a request could not be read: an HTTP status and a message for the client."""
 
     status: int
     reason: str
 
 
 class ClientDisconnected(Exception):
-    """The client closed its connection while we were answering."""
+    """The client closed its connection before the response was complete."""
 
 
 class Meter:
-    """Connections open now, and bytes that went over all of them."""
+    """Counts open connections, and bytes received and sent on all connections so far."""
 
     def __init__(self) -> None:
         self.open_connections = 0
@@ -67,13 +67,13 @@
 
 
 def bearer(req: Request) -> str:
-    """The bearer token of a request, empty where there is none."""
+    """The bearer token of a request; empty if there is none."""
     kind, _, token = req.headers.get("authorization", "").partition(" ")
     return token.strip() if kind.lower() == "bearer" else ""
 
 
 class Reply:
-    """The answer to one request: `send` for a whole one, or `start`, `write`, `end`."""
+    """Sends the response to a request: complete by `send`, or by `start`, `write` and `end`."""
 
     def __init__(self, sock: Any, conn: h11.Connection, meter: Meter) -> None:
         self._sock = sock
@@ -88,9 +88,9 @@
         content_type: str = JSON_TYPE,
         headers: tuple[tuple[str, str], ...] = (),
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         head = (("content-length", str(len(body))), *headers)
-        data = self._head(status, content_type, head)
+        data = self._encode_head(status, content_type, head)
         data += self._conn.send(h11.Data(data=body)) or b""
         data += self._conn.send(h11.EndOfMessage()) or b""
         await self._write(data)
@@ -98,18 +98,18 @@
     async def start(
         self, status: int, content_type: str, headers: tuple[tuple[str, str], ...] = ()
     ) -> None:
-        """Send the head of a streamed answer."""
-        await self._write(self._head(status, content_type, headers))
+        """Send the status line and the headers of a streamed response."""
+        await self._write(self._encode_head(status, content_type, headers))
 
     async def write(self, data: bytes) -> None:
-        """Send a piece of a streamed answer."""
+        """Send part of the body of a streamed response."""
         await self._write(self._conn.send(h11.Data(data=data)) or b"")
 
     async def end(self) -> None:
-        """End a streamed answer; without it the client sees a cut."""
+        """End a streamed response; without it the client sees a truncated response."""
         await self._write(self._conn.send(h11.EndOfMessage()) or b"")
 
-    def _head(self, status: int, kind: str, headers: tuple[tuple[str, str], ...]) -> bytes:
+    def _encode_head(self, status: int, kind: str, headers: tuple[tuple[str, str], ...]) -> bytes:
         self.started = True
         head = [("content-type", kind), *headers]
         return self._conn.send(h11.Response(status_code=status, headers=head)) or b""
@@ -127,39 +127,39 @@
 
 
 class ReloadingTlsContext:
-    """A TLS context that is read again when its files change."""
+    """A TLS context that is reloaded when the certificate or key file changes."""
 
     def __init__(self, cert: str, key: str) -> None:
         self._cert = cert
         self._key = key
-        self._seen: tuple[float, float] | None = None
+        self._mtimes: tuple[float, float] | None = None
         self._ctx: Any = None
 
     def context(self) -> Any:
-        """The context in force; a pair that can't be read keeps the former one."""
+        """The current context; the previous one is kept if the files can't be loaded."""
         try:
-            seen = (os.stat(self._cert).st_mtime, os.stat(self._key).st_mtime)
-            if seen != self._seen:
+            mtimes = (os.stat(self._cert).st_mtime, os.stat(self._key).st_mtime)
+            if mtimes != self._mtimes:
                 ctx = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
                 ctx.load_cert_chain(self._cert, self._key)
                 self._ctx = curio_ssl.CurioSSLContext(ctx)
-                self._seen = seen
+                self._mtimes = mtimes
         except (OSError, ssl.SSLError) as exc:
             if self._ctx is None:
                 raise
-            logger.warning("TLS files not read again: {}", exc)
+            logger.warning("TLS files can't be reloaded, keeping the previous ones: {}", exc)
         return self._ctx
 
 
 def listen(host: str, port: int) -> Any:
-    """A listening socket; raises OSError where the address can't be had."""
-    return curio.network.tcp_server_socket(host, port, backlog=BACKLOG, reuse_address=True)
+    """Return a listening socket; raises OSError if the address can't be bound."""
+    return curio.network.tcp_server_socket(host, port, backlog=ACCEPT_BACKLOG, reuse_address=True)
 
 
-async def accept_client(sock: Any, full: Callable[[], bool]) -> Any:
-    """The next connection; none is taken while there are as many as there may be."""
+async def accept_client(sock: Any, at_capacity: Callable[[], bool]) -> Any:
+    """Accept the next connection; waits while the maximum number of connections is open."""
     while True:
-        if not full():
+        if not at_capacity():
             try:
                 client, _ = await sock.accept()
                 return client
@@ -176,21 +176,28 @@
     tls: ReloadingTlsContext | None = None,
     meter: Meter | None = None,
 ) -> None:
-    """Serve until cancelled; connections go on in daemon tasks of their own."""
-    opened = meter or Meter()
+    """Serve until cancelled; each connection is served by a daemon task, which is not cancelled."""
+    connection_meter = meter or Meter()
     async with sock:
         while True:
             client = await accept_client(
-                sock, lambda: opened.open_connections >= limits.connections
+                sock, lambda: connection_meter.open_connections >= limits.connections
             )
             client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             if tls is not None:
                 client = await tls.context().wrap_socket(
                     client, server_side=True, do_handshake_on_connect=False
                 )
-            shake = tls is not None
+            needs_handshake = tls is not None
             await curio.spawn(
-                _serve_conn, client, handler, limits, error_body, opened, shake, daemon=True
+                _serve_conn,
+                client,
+                handler,
+                limits,
+                error_body,
+                connection_meter,
+                needs_handshake,
+                daemon=True,
             )
 
 
@@ -199,21 +206,21 @@
     handler: Handler,
     limits: Limits,
     error_body: ErrorBody | None,
-    opened: Meter,
-    handshake: bool,
+    meter: Meter,
+    needs_handshake: bool,
 ) -> None:
     conn = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.header_bytes)
-    opened.open_connections += 1
+    meter.open_connections += 1
     try:
         async with sock:
-            if handshake:
+            if needs_handshake:
                 await curio.timeout_after(limits.read_timeout_s, sock.do_handshake())
-            while await _serve_one(sock, conn, handler, limits, error_body, opened):
+            while await _serve_one(sock, conn, handler, limits, error_body, meter):
                 conn.start_next_cycle()
     except (ClientDisconnected, OSError, curio.TaskTimeout, h11.LocalProtocolError):
         pass
     finally:
-        opened.open_connections -= 1
+        meter.open_connections -= 1
 
 
 async def _serve_one(
@@ -224,7 +231,7 @@
     error_body: ErrorBody | None,
     meter: Meter,
 ) -> bool:
-    """Serve one request; true if the connection may carry another."""
+    """Serve one request; true if the connection can be reused for another."""
     req = await _read_request(sock, conn, limits, meter)
     if req is None:
         return False
@@ -233,7 +240,7 @@
         body = error_body(req) if error_body else req.reason.encode()
         if conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             await reply.send(req.status, body, headers=(("connection", "close"),))
-            await _linger(sock)
+            await _lingering_close(sock)
         return False
     try:
         await handler(req, reply)
@@ -247,10 +254,13 @@
     return conn.our_state is h11.DONE and conn.their_state is h11.DONE
 
 
-async def _linger(sock: Any) -> None:
-    """Read what a refused client still sends, so that a reset can't overtake our answer."""
+async def _lingering_close(sock: Any) -> None:
+    """Read and discard what the client still sends after its request was rejected.
+
+    Closing with unread data would send a reset, which could discard the response on its way.
+    """
     await sock.shutdown(socket.SHUT_WR)
-    async with curio.ignore_after(LINGER_S):
+    async with curio.ignore_after(LINGER_TIMEOUT_S):
         while await sock.recv(READ_SIZE):
             pass
 
@@ -258,14 +268,14 @@
 async def _read_request(
     sock: Any, conn: h11.Connection, limits: Limits, meter: Meter
 ) -> Request | BadInput | None:
-    """Read a whole request; None when the client has nothing more to ask."""
+    """Read a complete request; None if the client closed the connection or stayed idle."""
     try:
         if conn.trailing_data[0] == b"":
-            first = await curio.timeout_after(IDLE_TIMEOUT_S, sock.recv(READ_SIZE))
-            if not first:
+            data = await curio.timeout_after(IDLE_TIMEOUT_S, sock.recv(READ_SIZE))
+            if not data:
                 return None
-            meter.bytes_in += len(first)
-            conn.receive_data(first)
+            meter.bytes_in += len(data)
+            conn.receive_data(data)
     except curio.TaskTimeout:
         return None
     try:
@@ -286,8 +296,8 @@
         event = conn.next_event()
         if event is h11.NEED_DATA:
             if conn.they_are_waiting_for_100_continue:
-                go_on = h11.InformationalResponse(status_code=100, headers=[])
-                await sock.sendall(conn.send(go_on) or b"")
+                continue_response = h11.InformationalResponse(status_code=100, headers=[])
+                await sock.sendall(conn.send(continue_response) or b"")
             data = await sock.recv(READ_SIZE)
             meter.bytes_in += len(data)
             conn.receive_data(data)
@@ -298,12 +308,12 @@
             if len(body) > limits.body_bytes:
                 return BadInput(413, f"body larger than {limits.body_bytes} bytes")
         elif isinstance(event, h11.EndOfMessage) and head is not None:
-            return _whole(head, bytes(body))
+            return _parse_request(head, bytes(body))
         else:
             return None
 
 
-def _whole(head: h11.Request, body: bytes) -> Request | BadInput:
+def _parse_request(head: h11.Request, body: bytes) -> Request | BadInput:
     try:
         url = urlsplit(head.target.decode("ascii"))
     except ValueError as exc:
--- a/ramppost/wire/signals.py
+++ b/ramppost/wire/signals.py
@@ -1,4 +1,4 @@
-"""Signals under curio: a handler writes to a socket pair that a task reads."""
+"""Signals under curio: the interpreter writes each signal number to a socket that a task reads."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class Signals:
-    """Waits for signals; make one on the main thread before the loop runs."""
+    """Waits for signals; must be created in the main thread before the event loop runs."""
 
-    def __init__(self, numbers: tuple[int, ...] = (signal.SIGTERM, signal.SIGINT)) -> None:
-        self._read, write = socket.socketpair()
-        self._write = write
+    def __init__(self, signal_numbers: tuple[int, ...] = (signal.SIGTERM, signal.SIGINT)) -> None:
+        self._read, write_end = socket.socketpair()
+        self._write_end = write_end
         self._read.setblocking(False)
-        write.setblocking(False)
-        signal.set_wakeup_fd(write.fileno(), warn_on_full_buffer=False)
-        for number in numbers:
-            signal.signal(number, _ignore)
+        write_end.setblocking(False)
+        signal.set_wakeup_fd(write_end.fileno(), warn_on_full_buffer=False)
+        for signal_number in signal_numbers:
+            signal.signal(signal_number, _ignore_signal)
 
     async def wait(self) -> int:
-        """The number of the next signal."""
+        """Wait for the next signal and return its number."""
         data: bytes = await curio.io.Socket(self._read).recv(1)
         return data[0]
 
 
-def _ignore(number: int, frame: object) -> None:
-    """The wake-up socket carries the signal."""
+def _ignore_signal(signal_number: int, frame: object) -> None:
+    """Do nothing: the signal number arrives through the wake-up socket."""
