--- a/ramppost/clock.py
+++ b/ramppost/clock.py
@@ -1,8 +1,8 @@
-"""The steady clock of this product, from which every age, lease and deadline is taken.
+"""The monotonic clock from which every age, lease and deadline is computed.
 
-`time.monotonic` stands while a box is suspended, on Linux: what was known before would seem as
-fresh as then, though keys were taken away and upstreams left meanwhile.  This one goes on.  Neither
-jumps, as the time of day does.
+On Linux, `time.monotonic` does not advance while a box is suspended, so state read before the
+suspension would count as fresh although keys were revoked and upstreams left in the meantime.
+This clock includes suspended time.  Neither clock jumps when the time of day is changed.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 import time
 from typing import Final
 
-WITH_SUSPENSION: Final = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-"""Elsewhere than on Linux there is no other than the monotonic one."""
+CLOCK_ID: Final = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+"""Falls back to the monotonic clock on systems other than Linux, which lack CLOCK_BOOTTIME."""
 
 
 def now() -> float:
-    """Seconds since the box was started, those for which it was suspended among them."""
-    return time.clock_gettime(WITH_SUSPENSION)
+    """Seconds since the box was booted, including the time it was suspended."""
+    return time.clock_gettime(CLOCK_ID)
--- a/ramppost/confsync.py
+++ b/ramppost/confsync.py
@@ -1,9 +1,9 @@
 """Keeps a process at the newest configuration revision.
 
-Three ways at once: a waiting watch on the platform, a question to a random peer
-every two seconds, and a fetch from whoever shows a higher revision on a message.
-A revision is adopted only if it is higher than the one in force, so nothing ever
-reverts, whichever way is late, stale or down.
+Three sources are used at once: a long-poll watch on the platform, a request to a random peer
+every two seconds, and a fetch from any process whose message carries a higher revision.  A
+revision is adopted only if it is higher than the one in force, so a delayed, stale or
+unavailable source never causes a rollback.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 PEER_PERIOD_S: Final = 2.0
 PEER_TIMEOUT_S: Final = 1.0
 
-Adopted = Callable[[ConfigDoc], None]
+AdoptListener = Callable[[ConfigDoc], None]
 
 
 class ConfigState:
@@ -40,20 +40,20 @@
     def __init__(self) -> None:
         self.doc: ConfigDoc | None = None
         self.encoded = b""
-        self.adopt_listeners: list[Adopted] = []
+        self.adopt_listeners: list[AdoptListener] = []
         self.last_contact_at = float("-inf")
 
     def record_contact(self) -> None:
-        """The platform or a peer has just told of its revision."""
+        """Record that the platform or a peer has just reported its revision."""
         self.last_contact_at = clock.now()
 
     @property
     def rev(self) -> int:
-        """Revision in force, 0 before the first."""
+        """The revision in force, or 0 before the first one."""
         return self.doc["revision"] if self.doc else 0
 
     def adopt(self, doc: ConfigDoc, source: str) -> bool:
-        """Put a document in force if it is newer."""
+        """Put a document in force if its revision is higher; return whether it was."""
         if doc["revision"] <= self.rev:
             return False
         self.doc = doc
@@ -65,19 +65,19 @@
 
 
 async def watch_platform(state: ConfigState, client: Client) -> None:
-    """Watch the platform until cancelled."""
-    since = 0
-    wait_s = BACKOFF_MIN_S
+    """Watch the platform for new revisions until cancelled."""
+    last_version = 0
+    backoff_s = BACKOFF_MIN_S
     while True:
-        found = await watch(client, CONFIG_PREFIX, since, WATCH_S)
-        if isinstance(found, Unavailable):
-            await curio.sleep(wait_s * random.uniform(0.5, 1.5))
-            wait_s = min(BACKOFF_MAX_S, wait_s * 2)
+        changes = await watch(client, CONFIG_PREFIX, last_version, WATCH_S)
+        if isinstance(changes, Unavailable):
+            await curio.sleep(backoff_s * random.uniform(0.5, 1.5))
+            backoff_s = min(BACKOFF_MAX_S, backoff_s * 2)
             continue
-        wait_s = BACKOFF_MIN_S
+        backoff_s = BACKOFF_MIN_S
         state.record_contact()
-        for item in found["items"]:
-            since = max(since, item["version"])
+        for item in changes["items"]:
+            last_version = max(last_version, item["version"])
             doc = decode(encode(item["value"]), ConfigDoc)
             if isinstance(doc, BadMessage):
                 logger.error("configuration in the platform is malformed: {}", doc.reason)
@@ -86,25 +86,25 @@
 
 
 async def poll_peers(state: ConfigState, pool: Pool, peers: Callable[[], list[str]]) -> None:
-    """Ask a random peer for a newer revision now and then, and all of them at birth."""
+    """Ask every peer until there is a first configuration, then a random one periodically."""
     while state.doc is None:
         for addr in peers():
             await fetch_config(state, pool, addr)
         await curio.sleep(BACKOFF_MIN_S if state.doc is None else 0)
     while True:
         await curio.sleep(PEER_PERIOD_S * random.uniform(0.75, 1.25))
-        known = peers()
-        if known:
-            await fetch_config(state, pool, random.choice(known))
+        addrs = peers()
+        if addrs:
+            await fetch_config(state, pool, random.choice(addrs))
 
 
 async def fetch_config(state: ConfigState, pool: Pool, addr: str) -> bool:
-    """Fetch what an address has if it is newer; true if it was put in force."""
+    """Fetch the configuration of a process if it is newer; return whether it was put in force."""
     path = f"{CONFIG_PATH}?rev={state.rev}"
-    got = await http_fetch(pool, addr, "GET", path, timeout_s=PEER_TIMEOUT_S)
-    if not isinstance(got, CallFailed) and got.status in (200, 304):
+    answer = await http_fetch(pool, addr, "GET", path, timeout_s=PEER_TIMEOUT_S)
+    if not isinstance(answer, CallFailed) and answer.status in (200, 304):
         state.record_contact()
-    if isinstance(got, CallFailed) or got.status != 200:
+    if isinstance(answer, CallFailed) or answer.status != 200:
         return False
-    doc = decode(got.body, ConfigDoc)
+    doc = decode(answer.body, ConfigDoc)
     return not isinstance(doc, BadMessage) and state.adopt(doc, addr)
--- a/ramppost/errors.py
+++ b/ramppost/errors.py
@@ -1,10 +1,10 @@
-"""Every refusal that a caller or operator can see, in one place.
+"""All error replies to callers and operators.
 
-A `Refusal` carries a stable code, the HTTP status, a sentence, whether the
-request ran, and when to come back.  `CATALOGUE` lists the codes for the docs.
+A `Refusal` has a stable code, the HTTP status, a message, whether the request ran, and when to
+retry.  `CATALOGUE` documents the codes; the reference page is generated from it.
 
-`ran` is `"no"` only where no upstream was or will be asked to run the request.  With
-an idempotency key it speaks of the key: of the request, and of earlier ones with it.
+`ran` is `"no"` only if no upstream was or will be asked to run the request.  With an idempotency
+key, it covers the key: this request and all earlier ones with the same key.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Refusal(NamedTuple):
-    """A final answer that is not what the caller asked for; time in seconds."""
+    """An error reply, which is the final answer to a request."""
 
     code: str
     status: int
@@ -27,7 +27,7 @@
 
 
 class ErrorDoc(NamedTuple):
-    """What the docs say of a code: status, whether it ran, meaning and mend."""
+    """Documentation of an error code."""
 
     status: int
     ran: Ran
@@ -154,13 +154,13 @@
 
 
 def refusal(code: str, message: str, retry_after_s: float = 0.0, ran: Ran | None = None) -> Refusal:
-    """A refusal with the status and `ran` of the catalogue."""
+    """Return a refusal with the status and, unless given, the `ran` value of the catalogue."""
     doc = CATALOGUE[code]
     return Refusal(code, doc.status, message, doc.ran if ran is None else ran, retry_after_s)
 
 
 def error_body(ref: Refusal) -> bytes:
-    """The refusal in the OpenAI error shape."""
+    """Encode a refusal in the OpenAI error format."""
     kind = "invalid_request_error" if ref.status < 500 else "server_error"
     error = {
         "message": ref.message,
@@ -174,7 +174,7 @@
 
 
 def retry_headers(ref: Refusal) -> tuple[tuple[str, str], ...]:
-    """`Retry-After` in whole seconds, rounded up, where the refusal says when to come back."""
+    """Return `Retry-After` in whole seconds, rounded up, if the refusal says when to retry."""
     if ref.retry_after_s <= 0:
         return ()
     return (("retry-after", str(max(1, -int(-ref.retry_after_s // 1)))),)
--- a/ramppost/ledger.py
+++ b/ramppost/ledger.py
@@ -1,9 +1,9 @@
-"""Files bill lines in the ledger, which lives in the platform.
+"""Writes bill lines to the ledger, which is stored in the platform.
 
-The ledger is a set: the bill of a request is the set of its lines by attempt, so
-a line filed twice, by an entry and by the agent that was its witness, counts
-once.  Lines are filed in groups, each an object that only this incarnation
-writes, so that a group whose reply was lost is simply written again.
+The ledger is a set: the bill of a request consists of its lines, identified by attempt.  A line
+that is written twice, by an entry and by the agent acting as its witness, therefore counts once.
+Lines are written in batches.  Each batch is an object that only this incarnation writes, so that
+a write whose reply was lost can safely be repeated.
 """
 
 from __future__ import annotations
@@ -20,50 +20,52 @@
 LEDGER_PREFIX: Final = "ledger/"
 RETRY_MIN_S: Final = 0.5
 RETRY_MAX_S: Final = 5.0
-MAX_GROUP: Final = 4000
+MAX_BATCH_LINES: Final = 4000
 
-Filed = Callable[[list[BillLine]], Awaitable[None]]
+WrittenCallback = Callable[[list[BillLine]], Awaitable[None]]
 
 
 class LedgerWriter:
-    """Lines on their way to the ledger."""
+    """Queues bill lines and writes them to the ledger in batches."""
 
-    def __init__(self, client: Client, name: str, window_s: float, filed: Filed) -> None:
+    def __init__(
+        self, client: Client, name: str, window_s: float, on_written: WrittenCallback
+    ) -> None:
         self.client = client
         self.name = name
         self.window_s = window_s
-        self.filed = filed
+        self.on_written = on_written
         self.queue: list[BillLine] = []
         self.seq = 0
-        self.filing = False
+        self.writing = False
 
     def add(self, line: BillLine) -> None:
-        """Queue a line."""
+        """Queue a line to be written with the next batch."""
         self.queue.append(line)
 
     @property
     def empty(self) -> bool:
-        """Whether every line is in the ledger."""
-        return not self.queue and not self.filing
+        """Whether every added line is in the ledger."""
+        return not self.queue and not self.writing
 
     async def run(self) -> None:
-        """File groups until cancelled."""
+        """Write a batch every `window_s` seconds until cancelled."""
         while True:
             await curio.sleep(self.window_s)
             if self.queue:
-                await self.file_group()
+                await self.write_batch()
 
-    async def file_group(self) -> None:
-        """File what is queued; returns when it is in the ledger."""
-        group, self.queue = self.queue[:MAX_GROUP], self.queue[MAX_GROUP:]
-        self.filing = True
+    async def write_batch(self) -> None:
+        """Write the first queued lines, retrying until they are in the ledger."""
+        lines, self.queue = self.queue[:MAX_BATCH_LINES], self.queue[MAX_BATCH_LINES:]
+        self.writing = True
         key = f"{LEDGER_PREFIX}{self.name}/{self.seq:08d}"
         self.seq += 1
-        wait_s = RETRY_MIN_S
-        batch = BillBatch(filed_by=self.name, lines=group)
-        while isinstance(out := await put(self.client, key, batch, None), Unavailable):
-            logger.warning("bills not filed yet: {}", out.reason)
-            await curio.sleep(wait_s)
-            wait_s = min(RETRY_MAX_S, wait_s * 2)
-        self.filing = False
-        await self.filed(group)
+        backoff_s = RETRY_MIN_S
+        batch = BillBatch(filed_by=self.name, lines=lines)
+        while isinstance(result := await put(self.client, key, batch, None), Unavailable):
+            logger.warning("bill lines not written to the ledger; retrying: {}", result.reason)
+            await curio.sleep(backoff_s)
+            backoff_s = min(RETRY_MAX_S, backoff_s * 2)
+        self.writing = False
+        await self.on_written(lines)
