--- a/ramppost/__init__.py
+++ b/ramppost/__init__.py
@@ -1,6 +1,6 @@
 """ramppost: a model-aware router for teams that serve several models and versions.
 
-Start reading at `ramppost.cli.main`; one request then goes through
+The command line starts in `ramppost.cli.main`.  A request passes through
 `ramppost.entry.callers`, `ramppost.entry.serve`, `ramppost.entry.dispatch` and
 `ramppost.agent.handler` to an upstream and back.
 """
--- a/ramppost/dev.py
+++ b/ramppost/dev.py
@@ -1,4 +1,4 @@
-"""`ramppost dev`: the whole path in one process on loopback, for a laptop."""
+"""`ramppost dev`: runs an entry, agents and stand-ins in one process on the loopback interface."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 READY_POLL_S: Final = 0.1
 FIRST_PORT: Final = 1024 + ENTRY_PORTS
-"""The lowest port of the entry: the ports below 1024 are for root."""
+"""The lowest port for the entry, so that no derived port is below 1024, which requires root."""
 LAST_PORT: Final = 65535 - 1000
-"""The highest: those of agents and upstreams lie above it."""
+"""The highest port for the entry; the ports of agents and upstreams are above it."""
 
 BANNER: Final = """
 ramppost is up. Plain, then streamed:
@@ -34,8 +34,10 @@
 
 
 async def dev(port: int, signals: Signals) -> None:
-    """Run entry, agents and stand-ins as tasks until a signal; the entry listens on `port`, and
-    the others on ports that follow from it."""
+    """Run an entry, agents and stand-ins as tasks until a signal arrives.
+
+    The entry listens on `port`; the ports of the other programs are derived from it.
+    """
     fleet = build(DEV._replace(base_port=port - ENTRY_PORTS))
     with tempfile.TemporaryDirectory() as folder:
         seed = Path(folder) / "config.json"
@@ -51,9 +53,9 @@
         logs.set_up(DEV.log, "dev")
         for cfg in (cfg for group in groups for cfg in group.values()):
             await curio.spawn(PROGRAM_MAINS[cfg["program"]], cfg, daemon=True)
-        where = fleet.entries["entry-1"]["listen"]
-        addr = f"{where['host']}:{where['port']}"
-        await _ready(addr, token_of("mesob"))
+        listen = fleet.entries["entry-1"]["listen"]
+        addr = f"{listen['host']}:{listen['port']}"
+        await _wait_until_ready(addr, token_of("mesob"))
         banner = BANNER.format(
             addr=addr, token=token_of("mesob"), other=token_of("toll"), operator=OPERATOR_TOKEN
         )
@@ -61,18 +63,18 @@
         await signals.wait()
 
 
-async def _ready(addr: str, token: str) -> None:
-    """Wait until a request is served."""
+async def _wait_until_ready(addr: str, token: str) -> None:
+    """Send requests until one is served."""
     pool = Pool()
     body = b'{"model":"auto","messages":[{"role":"user","content":"hello"}],"max_tokens":1}'
-    head = (("authorization", f"Bearer {token}"), ("content-type", "application/json"))
+    headers = (("authorization", f"Bearer {token}"), ("content-type", "application/json"))
     while True:
-        got = await call(pool, addr, "POST", "/v1/chat/completions", body, 5.0, head)
-        if isinstance(got, Response) and got.status == 200:
+        response = await call(pool, addr, "POST", "/v1/chat/completions", body, 5.0, headers)
+        if isinstance(response, Response) and response.status == 200:
             return
         await curio.sleep(READY_POLL_S)
 
 
 def run_dev(port: int) -> None:
-    """Run until a signal."""
+    """Run the development setup until a signal arrives."""
     run_loop(dev, port, Signals())
--- a/ramppost/programs.py
+++ b/ramppost/programs.py
@@ -1,4 +1,4 @@
-"""Which coroutine runs which program."""
+"""Runs the programs that are configured by a settings file."""
 
 from __future__ import annotations
 
@@ -25,19 +25,20 @@
     "standin-store": store.run,
     "standin-upstream": upstream.run,
 }
-WITH_PLANNED_STOP: Final = ("entry", "agent")
+GRACEFUL_STOP_PROGRAMS: Final = ("entry", "agent")
 
 
 def run_program(cfg: Any) -> int:
-    """Run a program until a signal ends it; entries and agents end by their planned stop.
+    """Run a program until it receives a signal; entries and agents then stop gracefully.
 
-    Answers 0, or 1 where it could not start, such as when its port is taken.
+    Return the exit code: 0, or 1 if the program could not start, for example because its port
+    is in use.
     """
     program = cfg["program"]
     logs.set_up(cfg["log"], cfg.get("name", program))
     signals = Signals()
     try:
-        if program in WITH_PLANNED_STOP:
+        if program in GRACEFUL_STOP_PROGRAMS:
             run_loop(PROGRAM_MAINS[program], cfg, signals)
         else:
             run_loop(_until_signal, PROGRAM_MAINS[program], cfg, signals)
@@ -48,10 +49,10 @@
 
 
 def run_loop(main: Callable[..., Awaitable[None]], *args: Any) -> None:
-    """Run the loop until `main` ends, then end the process.
+    """Run the event loop until `main` returns, then exit the process.
 
-    Whatever had to be done was done by `main`; connections and other tasks that
-    are left are dropped with the process.  Raises what `main` raises.
+    `main` is responsible for all cleanup: remaining connections and tasks are dropped when the
+    process exits.  Exceptions from `main` are propagated.
     """
     kernel = curio.Kernel()
     try:
@@ -65,7 +66,7 @@
 
 
 async def _until_signal(run: Callable[..., Awaitable[None]], cfg: Any, signals: Signals) -> None:
-    """Run until a signal; a program that ends before, ends with its error."""
+    """Run a program until a signal arrives; if it fails before that, raise its error."""
     async with curio.TaskGroup(wait=any) as group:
         await group.spawn(run, cfg)
         await group.spawn(signals.wait)
--- a/ramppost/settings.py
+++ b/ramppost/settings.py
@@ -1,7 +1,7 @@
-"""Reads and checks settings and configuration documents: JSON with comments.
+"""Loads and validates settings files and configuration documents, which are JSON with comments.
 
-Every fault is one line that names file, path and the mend; nothing is started
-with faulty settings.
+Each error is one line that names the file, the JSON path and the correction.  No program is
+started with invalid settings.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 from ramppost.wire.addr import is_address
 
-PROGRAMS: Final = {
+PROGRAM_DEFINITIONS: Final = {
     "entry": "EntrySettings",
     "agent": "AgentSettings",
     "gateway": "GatewaySettings",
@@ -31,59 +31,61 @@
 
 
 class InvalidFile(NamedTuple):
-    """Faults of a file, a line each."""
+    """The errors in a file, one per line."""
 
     lines: list[str]
 
 
 @cache
 def schema(name: str) -> dict[str, Any]:
-    """A schema of the package, `settings`, `config` or `messages`."""
+    """Return a JSON schema of the package: `settings`, `config` or `messages`."""
     text = (files("ramppost.schema") / f"{name}.json").read_text(encoding="utf-8")
-    found: dict[str, Any] = json.loads(text)
-    return found
+    parsed: dict[str, Any] = json.loads(text)
+    return parsed
 
 
-def load_settings(path: Path, wanted: str = "") -> Any | InvalidFile:
-    """Settings of the program `wanted`, or of whichever the file names."""
+def load_settings(path: Path, expected_program: str = "") -> Any | InvalidFile:
+    """Load the settings of `expected_program`, or of any program if it is empty."""
     value = _parse(path)
     if isinstance(value, InvalidFile):
         return value
     program = value.get("program") if isinstance(value, dict) else None
-    if not isinstance(program, str) or program not in PROGRAMS:
-        names = ", ".join(PROGRAMS)
+    if not isinstance(program, str) or program not in PROGRAM_DEFINITIONS:
+        names = ", ".join(PROGRAM_DEFINITIONS)
         return InvalidFile([f"{path}: $.program: must name a program: {names}"])
-    if wanted and program != wanted:
-        return InvalidFile([f"{path}: $.program: is {program!r}; this command wants {wanted!r}"])
-    faults = _faults("settings", PROGRAMS[program], value, path.parent)
-    if faults:
-        return InvalidFile([f"{path}: {fault}" for fault in faults])
-    return _resolve_files("settings", PROGRAMS[program], value, path.parent)
+    if expected_program and program != expected_program:
+        return InvalidFile(
+            [f"{path}: $.program: is {program!r}; this command requires {expected_program!r}"]
+        )
+    errors = _schema_errors("settings", PROGRAM_DEFINITIONS[program], value, path.parent)
+    if errors:
+        return InvalidFile([f"{path}: {error}" for error in errors])
+    return _resolve_files("settings", PROGRAM_DEFINITIONS[program], value, path.parent)
 
 
 def load_config_doc(path: Path) -> Any | InvalidFile:
-    """A configuration document from a file."""
+    """Load a configuration document from a file."""
     value = _parse(path)
     if isinstance(value, InvalidFile):
         return value
-    faults = check_config_doc(value)
-    return InvalidFile([f"{path}: {fault}" for fault in faults]) if faults else value
+    errors = check_config_doc(value)
+    return InvalidFile([f"{path}: {error}" for error in errors]) if errors else value
 
 
 def check_file(path: Path) -> list[str]:
-    """Faults of a settings file or configuration document, whichever it is."""
+    """Return the errors in a file, which is a settings file or a configuration document."""
     value = _parse(path)
     if isinstance(value, InvalidFile):
         return value.lines
     is_doc = isinstance(value, dict) and "revision" in value and "program" not in value
-    got = load_config_doc(path) if is_doc else load_settings(path)
-    return got.lines if isinstance(got, InvalidFile) else []
+    loaded = load_config_doc(path) if is_doc else load_settings(path)
+    return loaded.lines if isinstance(loaded, InvalidFile) else []
 
 
 def check_config_doc(value: Any) -> list[str]:
-    """Faults of a configuration document: by the schema, then names that lead nowhere."""
-    faults = _faults("config", "ConfigDoc", value, Path())
-    return faults or _dangling(value)
+    """Return schema errors in a configuration document, or else unknown and duplicate names."""
+    errors = _schema_errors("config", "ConfigDoc", value, Path())
+    return errors or _name_errors(value)
 
 
 def _parse(path: Path) -> Any | InvalidFile:
@@ -98,15 +100,19 @@
         return InvalidFile([f"{path}: $: not JSON with comments: {str(exc).splitlines()[0]}"])
 
 
-def _faults(name: str, definition: str, value: Any, folder: Path) -> list[str]:
-    whole = schema(name)
-    wanted = {"$defs": whole["$defs"], **whole["$defs"][definition]}
-    checker = Draft202012Validator(wanted, format_checker=Draft202012Validator.FORMAT_CHECKER)
-    errors = sorted(checker.iter_errors(value), key=lambda e: e.json_path)
-    lines = [f"{error.json_path}: {_mend(error)}" for error in errors]
+def _schema_errors(schema_name: str, definition: str, value: Any, folder: Path) -> list[str]:
+    full_schema = schema(schema_name)
+    root_schema = {"$defs": full_schema["$defs"], **full_schema["$defs"][definition]}
+    validator = Draft202012Validator(
+        root_schema, format_checker=Draft202012Validator.FORMAT_CHECKER
+    )
+    errors = sorted(validator.iter_errors(value), key=lambda e: e.json_path)
+    lines = [f"{error.json_path}: {_format_schema_error(error)}" for error in errors]
     if lines or not isinstance(value, dict):
         return lines
-    for path, text, spec in _leaves(whole["$defs"], whole["$defs"][definition], value, "$"):
+    for path, text, spec in _string_values(
+        full_schema["$defs"], full_schema["$defs"][definition], value, "$"
+    ):
         if spec.get("x-address") and not is_address(text):
             lines.append(f"{path}: {text!r} is not an address; write `ip:port`")
         if spec.get("x-file") and not (folder / text).is_file():
@@ -117,59 +123,62 @@
     return lines
 
 
-def _mend(error: ValidationError) -> str:
-    """A schema error with what to do about it."""
-    kind, value = error.validator, error.validator_value
-    if kind == "additionalProperties":
+def _format_schema_error(error: ValidationError) -> str:
+    """Format a schema error together with its correction."""
+    keyword, constraint = error.validator, error.validator_value
+    if keyword == "additionalProperties":
         known = (
             ", ".join(error.schema.get("properties", {})) if isinstance(error.schema, dict) else ""
         )
         return f"{error.message.split('(')[-1].rstrip(')')}; known keys: {known}"
-    if kind == "required":
+    if keyword == "required":
         return f"{error.message}; add it"
-    if kind == "type":
-        return f"{error.message}; write a value of type {value}"
-    if kind in ("minimum", "maximum"):
-        return f"{error.message}; {kind} is {value}"
-    if kind in ("enum", "const"):
-        return f"{error.message}; write one of {value}" if kind == "enum" else error.message
-    return f"{error.message}; {kind} is {value}"
+    if keyword == "type":
+        return f"{error.message}; write a value of type {constraint}"
+    if keyword in ("minimum", "maximum"):
+        return f"{error.message}; {keyword} is {constraint}"
+    if keyword in ("enum", "const"):
+        return f"{error.message}; write one of {constraint}" if keyword == "enum" else error.message
+    return f"{error.message}; {keyword} is {constraint}"
 
 
-def _leaves(
+def _string_values(
     defs: dict[str, Any], spec: dict[str, Any], value: Any, path: str
 ) -> list[tuple[str, str, dict[str, Any]]]:
-    """Texts of a checked value with their path and schema."""
+    """Return the strings in a validated value, each with its JSON path and schema."""
     if "$ref" in spec:
         spec = defs[spec["$ref"].rpartition("/")[2]]
     if isinstance(value, dict):
-        found = []
+        strings = []
         for key, item in value.items():
-            found += _leaves(defs, spec.get("properties", {}).get(key, {}), item, f"{path}.{key}")
-        return found
+            strings += _string_values(
+                defs, spec.get("properties", {}).get(key, {}), item, f"{path}.{key}"
+            )
+        return strings
     if isinstance(value, list):
         items = [
-            _leaves(defs, spec.get("items", {}), v, f"{path}[{i}]") for i, v in enumerate(value)
+            _string_values(defs, spec.get("items", {}), v, f"{path}[{i}]")
+            for i, v in enumerate(value)
         ]
-        return [leaf for group in items for leaf in group]
+        return [string_value for group in items for string_value in group]
     return [(path, value, spec)] if isinstance(value, str) else []
 
 
-def _resolve_files(name: str, definition: str, value: Any, folder: Path) -> Any:
-    """The value with its file names made relative to the working folder."""
-    whole = schema(name)["$defs"]
-    for path, text, spec in _leaves(whole, whole[definition], value, "$"):
+def _resolve_files(schema_name: str, definition: str, value: Any, folder: Path) -> Any:
+    """Resolve file names in the settings, which are relative to the folder of the settings file."""
+    definitions = schema(schema_name)["$defs"]
+    for path, text, spec in _string_values(definitions, definitions[definition], value, "$"):
         if spec.get("x-file"):
             *parents, last = path.removeprefix("$.").split(".")
-            holder = value
+            container = value
             for part in parents:
-                holder = holder[part]
-            holder[last] = str(folder / text)
+                container = container[part]
+            container[last] = str(folder / text)
     return value
 
 
-def _dangling(doc: Any) -> list[str]:
-    """Names in a configuration document that nothing bears."""
+def _name_errors(doc: Any) -> list[str]:
+    """Return references to unknown models and policies, and duplicate names, in a document."""
     models = {m["model"] for m in doc["models"]}
     policies = {p["name"] for p in doc["policies"]}
     lines = []
@@ -179,8 +188,8 @@
                 lines.append(
                     f"$.policies[{i}].models[{j}]: no such model {model!r}; add it to models"
                 )
-    for i, ws in enumerate(doc["workspaces"]):
-        for j, part in enumerate(ws["policies"]):
+    for i, workspace in enumerate(doc["workspaces"]):
+        for j, part in enumerate(workspace["policies"]):
             if part["policy"] not in policies:
                 name = part["policy"]
                 lines.append(f"$.workspaces[{i}].policies[{j}]: no such policy {name!r}; add it")
--- a/ramppost/usage.py
+++ b/ramppost/usage.py
@@ -1,4 +1,4 @@
-"""What a process has used so far, by its own accounting."""
+"""Resource usage of the current process."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 def usage(client: Client, meters: Iterable[Meter]) -> Usage:
-    """CPU, memory, bytes and calls of the platform since the start."""
-    used = resource.getrusage(resource.RUSAGE_SELF)
-    served = list(meters)
+    """Return CPU time, memory, bytes transferred and platform calls since the process started."""
+    rusage = resource.getrusage(resource.RUSAGE_SELF)
+    server_meters = list(meters)
     return Usage(
-        cpu_s=used.ru_utime + used.ru_stime,
+        cpu_s=rusage.ru_utime + rusage.ru_stime,
         rss_bytes=int(Path("/proc/self/statm").read_text().split()[1]) * PAGE_BYTES,
-        bytes_in=client.pool.bytes_in + sum(m.bytes_in for m in served),
-        bytes_out=client.pool.bytes_out + sum(m.bytes_out for m in served),
+        bytes_in=client.pool.bytes_in + sum(meter.bytes_in for meter in server_meters),
+        bytes_out=client.pool.bytes_out + sum(meter.bytes_out for meter in server_meters),
         platform_calls=client.calls,
     )
