--- a/ramppost/confsync.py
+++ b/ramppost/confsync.py
@@ -101,10 +101,10 @@
 async def fetch_config(state: ConfigState, pool: Pool, addr: str) -> bool:
     """Fetch the configuration of a process if it is newer; return whether it was put in force."""
     path = f"{CONFIG_PATH}?rev={state.rev}"
-    answer = await http_fetch(pool, addr, "GET", path, timeout_s=PEER_TIMEOUT_S)
-    if not isinstance(answer, CallFailed) and answer.status in (200, 304):
+    response = await http_fetch(pool, addr, "GET", path, timeout_s=PEER_TIMEOUT_S)
+    if not isinstance(response, CallFailed) and response.status in (200, 304):
         state.record_contact()
-    if isinstance(answer, CallFailed) or answer.status != 200:
+    if isinstance(response, CallFailed) or response.status != 200:
         return False
-    doc = decode(answer.body, ConfigDoc)
+    doc = decode(response.body, ConfigDoc)
     return not isinstance(doc, BadMessage) and state.adopt(doc, addr)
