--- a/ramppost/agent/engine.py
+++ b/ramppost/agent/engine.py
@@ -64,7 +64,7 @@
 
 
 class NotStarted(NamedTuple):
-    """The engine did not run it."""
+    """The upstream did not run the request."""
 
     reason: str
 
--- a/ramppost/agent/handler.py
+++ b/ramppost/agent/handler.py
@@ -66,8 +66,8 @@
 
 async def send_config(raw: bytes, rev: int, req: Request, reply: Reply) -> None:
     """Send the configuration if it is newer than the revision in the query, else status 304."""
-    asked = req.query.get("rev", "0")
-    if asked.isdigit() and int(asked) < rev:
+    known_rev = req.query.get("rev", "0")
+    if known_rev.isdigit() and int(known_rev) < rev:
         await reply.send(200, raw)
     else:
         await reply.send(304, b"")
