--- a/ramppost/cli/main.py
+++ b/ramppost/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line.  Each command is a thin shell around one function."""
+"""The `ramppost` command line.  Each command parses its arguments and calls one function."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 )
 
 
-def application() -> Application:
-    """The application with all its commands."""
+def create_application() -> Application:
+    """Creates the application and registers all commands."""
     app = Application("ramppost", __version__)
     for command in (
         EntryCommand,
@@ -51,5 +51,5 @@
 
 
 def main() -> None:
-    """Run the command that the arguments name."""
-    sys.exit(application().run())
+    """Runs the command given by the arguments and exits with its exit code."""
+    sys.exit(create_application().run())
--- a/ramppost/cli/run.py
+++ b/ramppost/cli/run.py
@@ -1,4 +1,4 @@
-"""Commands that run a program or check its settings."""
+"""Commands that run a program or validate settings files."""
 
 from __future__ import annotations
 
@@ -13,33 +13,36 @@
 from ramppost.programs import run_program
 from ramppost.settings import InvalidFile, check_file, load_settings
 
-BAD_SETTINGS = 2
-SETTINGS = option("settings", "s", "Settings file, JSON with comments.", flag=False)
+EXIT_BAD_SETTINGS = 2
+SETTINGS_OPTION = option("settings", "s", "Settings file, JSON with comments.", flag=False)
 
 
-def start(command: Command, path: str | None, wanted: str) -> int:
-    """Run a program with a settings file; 2 where the file is faulty."""
+def run_with_settings(command: Command, path: str | None, expected_program: str) -> int:
+    """Runs a program with its settings file.
+
+    Returns the exit code of the program, or 2 if the settings file is missing or invalid.
+    """
     if path is None:
-        command.line_error("--settings FILE is needed")
-        return BAD_SETTINGS
-    cfg: Any = load_settings(Path(path), wanted)
-    if isinstance(cfg, InvalidFile):
-        for line in cfg.lines:
-            command.line_error(line)
-        return BAD_SETTINGS
-    return run_program(cfg)
+        command.line_error("option --settings FILE is required")
+        return EXIT_BAD_SETTINGS
+    settings: Any = load_settings(Path(path), expected_program)
+    if isinstance(settings, InvalidFile):
+        for message in settings.lines:
+            command.line_error(message)
+        return EXIT_BAD_SETTINGS
+    return run_program(settings)
 
 
 class EntryCommand(Command):
     """`ramppost entry`."""
 
     name = "entry"
-    description = "Run an entry: callers' API, operators' intent API, routing."
-    options: ClassVar = [SETTINGS]
+    description = "Run an entry: the API for callers, the intent API for operators, and routing."
+    options: ClassVar = [SETTINGS_OPTION]
 
     def handle(self) -> int:
-        """Run it."""
-        return start(self, self.option("settings"), "entry")
+        """Runs the entry."""
+        return run_with_settings(self, self.option("settings"), "entry")
 
 
 class GatewayCommand(Command):
@@ -47,12 +50,12 @@
 
     name = "gateway"
     description = (
-        "Run a gateway on the users' platform: callers on one side, upstreams on the other."
+        "Run a gateway on the users' platform, which forwards requests of callers to upstreams."
     )
-    options: ClassVar = [SETTINGS]
+    options: ClassVar = [SETTINGS_OPTION]
 
     def handle(self) -> int:
-        """Run it."""
+        """Runs the gateway."""
         run_gateway(self.option("settings") or "")
         return 0
 
@@ -61,42 +64,52 @@
     """`ramppost agent`."""
 
     name = "agent"
-    description = "Run an agent: the door to the upstream beside it."
-    options: ClassVar = [SETTINGS]
+    description = "Run an agent: the local proxy of one upstream."
+    options: ClassVar = [SETTINGS_OPTION]
 
     def handle(self) -> int:
-        """Run it."""
-        return start(self, self.option("settings"), "agent")
+        """Runs the agent."""
+        return run_with_settings(self, self.option("settings"), "agent")
 
 
 class StandinCommand(Command):
     """`ramppost standin`."""
 
     name = "standin"
-    description = "Run a stand-in of an outside system, for tests and trials."
-    arguments: ClassVar = [argument("kind", "platform, engine or service.")]
-    options: ClassVar = [SETTINGS]
+    description = "Run a simulated external system, for tests and experiments."
+    arguments: ClassVar = [
+        argument("kind", "Kind of system: platform, engine, service, store or upstream.")
+    ]
+    options: ClassVar = [SETTINGS_OPTION]
 
     def handle(self) -> int:
-        """Run it."""
-        return start(self, self.option("settings"), f"standin-{self.argument('kind')}")
+        """Runs the simulated system."""
+        return run_with_settings(self, self.option("settings"), f"standin-{self.argument('kind')}")
 
 
 class DevCommand(Command):
     """`ramppost dev`."""
 
     name = "dev"
-    description = "Run the whole path in one process on loopback."
+    description = "Run a complete local deployment in one process on the loopback interface."
     options: ClassVar = [
-        option("port", None, "Port of the entry; the others follow it.", flag=False, default="8080")
+        option(
+            "port",
+            None,
+            "Port of the entry; other ports are derived from it.",
+            flag=False,
+            default="8080",
+        )
     ]
 
     def handle(self) -> int:
-        """Run it."""
+        """Runs the deployment on the given port."""
         port = self.option("port")
         if not port.isdecimal() or not FIRST_PORT <= int(port) <= LAST_PORT:
-            self.line_error(f"--port: {port!r} is no port from {FIRST_PORT} to {LAST_PORT}")
-            return BAD_SETTINGS
+            self.line_error(
+                f"--port: {port!r} is not a port number from {FIRST_PORT} to {LAST_PORT}"
+            )
+            return EXIT_BAD_SETTINGS
         run_dev(int(port))
         return 0
 
@@ -105,14 +118,14 @@
     """`ramppost check-config`."""
 
     name = "check-config"
-    description = "Check settings files and configuration documents."
+    description = "Validate settings files and configuration documents."
     arguments: ClassVar = [argument("files", "Files to check.", multiple=True)]
 
     def handle(self) -> int:
-        """Check all; 2 if one is faulty."""
-        faults = [line for name in self.argument("files") for line in check_file(Path(name))]
-        for line in faults:
-            self.line_error(line)
-        if not faults:
-            self.line(f"{len(self.argument('files'))} files are good")
-        return BAD_SETTINGS if faults else 0
+        """Validates all files; returns 2 if any of them is invalid."""
+        errors = [error for path in self.argument("files") for error in check_file(Path(path))]
+        for error in errors:
+            self.line_error(error)
+        if not errors:
+            self.line(f"{len(self.argument('files'))} files are valid")
+        return EXIT_BAD_SETTINGS if errors else 0
