--- a/ramppost/cli/policy_init.py
+++ b/ramppost/cli/policy_init.py
@@ -1,4 +1,4 @@
-"""The first document of policies of a deployment on the users' platform."""
+"""The command that creates the initial policy document of a deployment on the users' platform."""
 
 from __future__ import annotations
 
@@ -15,36 +15,43 @@
 from ramppost.schema.config import Operator
 from ramppost.wire.client import Pool
 
-FAILED: Final = 1
+EXIT_FAILURE: Final = 1
 
 
 class PolicyInitCommand(Command):
     """`ramppost policy init`."""
 
     name = "policy init"
-    description = "Write the first document of policies to the store, with one operator."
+    description = "Create the initial policy document in the store, with one operator."
     options: ClassVar = [
-        option("store", "s", "The store's address, ip:port.", flag=False),
+        option("store", "s", "Address of the store, ip:port.", flag=False),
         option("operator", "o", "Name of the operator.", flag=False, default="operator"),
-        option("token", "t", "The operator's token; only its hash is kept.", flag=False),
+        option("token", "t", "Token of the operator; only its hash is stored.", flag=False),
     ]
 
     def handle(self) -> int:
-        """Write it, unless there is one."""
-        store, token = self.option("store"), self.option("token")
-        if not store or not token:
-            self.line_error("--store and --token are needed")
-            return FAILED
-        who = Operator(
+        """Creates the document; fails if the store already holds one."""
+        store_addr, token = self.option("store"), self.option("token")
+        if not store_addr or not token:
+            self.line_error("options --store and --token are required")
+            return EXIT_FAILURE
+        operator = Operator(
             name=self.option("operator"),
             token_hash=token_hash(token),
             roles=["read", "plan", "confirm"],
         )
-        client = StoreClient(store, Pool())
-        got = curio.run(create, client, POLICY_KIND, POLICY_NAME, empty_doc([who]))
-        if isinstance(got, StoredObject):
-            self.line(f"revision {got.revision} written")
+        client = StoreClient(store_addr, Pool())
+        result = curio.run(create, client, POLICY_KIND, POLICY_NAME, empty_doc([operator]))
+        if isinstance(result, StoredObject):
+            self.line(f"revision {result.revision} written")
             return 0
-        there = "there is one already; change it by plan and confirm"
-        self.line_error(there if isinstance(got, Conflict) else f"no answer: {got.reason}")
-        return FAILED
+        conflict_message = (
+            "policy document not created: there is one already; "
+            "change it with `ramppost plan` and `ramppost confirm`"
+        )
+        self.line_error(
+            conflict_message
+            if isinstance(result, Conflict)
+            else f"store is unavailable: {result.reason}"
+        )
+        return EXIT_FAILURE
