--- a/tests/test_retry_slack.py
+++ b/tests/test_retry_slack.py
@@ -1,10 +1,10 @@
-"""The retry slack of a service is shared by all gateways, however many there are.
+"""The retry slack of a service is divided among all gateways, whatever their number.
 
-Each gateway took a sixteenth of the slack, so a fleet of 68 could spend 4.3 times what the rule
-gives all of them together, and one of 410 could spend 26 times as much.  A calm second in which
-many engines crash at once is where that shows: the tries of the window are few, and every gateway
-takes up all its streams elsewhere.  The part is now worked out from the gateways that are known,
-and a gateway that has not yet seen their list takes the least.
+Each gateway used to take a sixteenth of the slack, so a fleet of 68 could spend 4.3 times the limit
+for the whole fleet, and one of 410 could spend 26 times as much.  It shows when many engines crash
+at once under low load: the window holds few tries, and every gateway resumes all its streams on
+other engines.  The share is now computed from the number of known gateways, and a gateway that
+has not yet received their list takes the smallest share.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 SERVICE = "lm"
 
 
-def fleet(size: int, known: int, slack: float) -> list[WindowBudget]:
-    """The budgets of a fleet's gateways, each of which has so many others on its list."""
+def fleet_budgets(size: int, known: int, slack: float) -> list[WindowBudget]:
+    """Returns the retry budgets of `size` gateways, each of which knows `known` peers."""
     cfg = GatewaySettings(
         **{**SETTINGS, "retries": {"ratio": RATIO, "window_s": WINDOW_S, "slack": slack}}
     )
@@ -38,8 +38,8 @@
     return budgets
 
 
-def crash(budgets: list[WindowBudget], tries: int) -> int:
-    """Retries that a fleet makes where engines crash after so many tries within a window."""
+def count_retries_after_crash(budgets: list[WindowBudget], tries: int) -> int:
+    """Returns the retries a fleet makes if engines crash after `tries` tries within a window."""
     rng = random.Random(3)
     for number in range(tries):
         budgets[rng.randrange(len(budgets))].record_try(
@@ -56,19 +56,21 @@
 @pytest.mark.parametrize("known_all", [True, False])
 @pytest.mark.parametrize("tries", [0, 40, 400, 4000])
 @pytest.mark.parametrize(("size", "slack"), [(4, 54), (6, 58), (32, 104), (68, 176), (410, 790)])
-def test_a_crash_in_a_calm_second_stays_within_the_budget(
+def test_retries_after_a_crash_under_low_load_stay_within_the_budget(
     size: int, slack: float, tries: int, known_all: bool
 ) -> None:
-    budgets = fleet(size, size - 1 if known_all else 0, slack)
-    assert crash(budgets, tries) <= RATIO * tries + slack
+    budgets = fleet_budgets(size, size - 1 if known_all else 0, slack)
+    assert count_retries_after_crash(budgets, tries) <= RATIO * tries + slack
 
 
 def test_gateways_that_left_count_until_they_are_forgotten() -> None:
-    """A list that names more than there are gives each less, never more."""
-    assert crash(fleet(68, 200, 176), 0) <= crash(fleet(68, 67, 176), 0)
+    """A list with gateways that have left makes each share smaller, never larger."""
+    assert count_retries_after_crash(fleet_budgets(68, 200, 176), 0) <= count_retries_after_crash(
+        fleet_budgets(68, 67, 176), 0
+    )
 
 
-def test_the_part_follows_the_list() -> None:
+def test_the_share_follows_the_number_of_known_gateways() -> None:
     gw = Gateway(SETTINGS)
     before = gw.retry_budget_of(SERVICE).available(NOW)
     for number in range(40):
