--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that the features share."""
+"""Fixtures shared by the feature tests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ramppost.standin.fleet import MESOB_CLASSES, FleetPlan
 from tests.harness.cluster import Cluster
 
-SMALL = FleetPlan(
+SMALL_FLEET = FleetPlan(
     base_port=0,
     halls=["bole", "kirkos"],
     entries=2,
@@ -23,43 +23,43 @@
     classes=MESOB_CLASSES,
 )
 
-KNOWN_RED = Path(__file__).parents[1] / "KNOWN-RED.txt"
-"""Tests that fail for a fault that is not mended yet, a line each: the test's id, then after
-bars its cause, its issue, the command with the seed, and what was seen."""
+KNOWN_FAILURES_PATH = Path(__file__).parents[1] / "KNOWN-RED.txt"
+"""Tests that fail because of a fault that is not fixed yet, one per line: the test ID, then,
+separated by bars, the cause, the issue, the command with its seed, and the observed result."""
 
 
-def known_red() -> dict[str, str]:
-    """Reasons by test id."""
-    if not KNOWN_RED.exists():
+def known_failures() -> dict[str, str]:
+    """Returns the reasons by test ID."""
+    if not KNOWN_FAILURES_PATH.exists():
         return {}
-    lines = [line.strip() for line in KNOWN_RED.read_text(encoding="utf-8").splitlines()]
+    lines = [line.strip() for line in KNOWN_FAILURES_PATH.read_text(encoding="utf-8").splitlines()]
     rows = [line.split("|", 1) for line in lines if line and not line.startswith("#")]
     return {test.strip(): reason.strip() for test, reason in rows}
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    for test, why in known_red().items():
-        terminalreporter.write_line(f"known red, passed over: {test}: {why}")
+    for test_id, reason in known_failures().items():
+        terminalreporter.write_line(f"known red, passed over: {test_id}: {reason}")
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    red = known_red()
+    failures = known_failures()
     for item in items:
-        if item.nodeid in red:
-            item.add_marker(pytest.mark.skip(reason=f"known red: {red[item.nodeid]}"))
+        if item.nodeid in failures:
+            item.add_marker(pytest.mark.skip(reason=f"known red: {failures[item.nodeid]}"))
 
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Cluster]:
-    """A small fleet, started once for a module."""
+    """Starts a small fleet once per module."""
     ablate = os.environ.get("RAMPPOST_ABLATE", "")
-    cluster = Cluster(tmp_path_factory.mktemp("fleet"), SMALL, ablate).start()
+    cluster = Cluster(tmp_path_factory.mktemp("fleet"), SMALL_FLEET, ablate).start()
     yield cluster
     cluster.stop()
 
 
 @pytest.fixture
 def cluster(fleet: Cluster) -> Iterator[Cluster]:
-    """The small fleet, healed before each scenario."""
+    """Returns the small fleet, with all faults removed before each scenario."""
     fleet.heal()
     yield fleet
--- a/tests/test_harness_starts.py
+++ b/tests/test_harness_starts.py
@@ -13,14 +13,14 @@
 
 import pytest
 
-from tests.conftest import SMALL
+from tests.conftest import SMALL_FLEET
 from tests.harness import cluster, gateways
 
 Start = Callable[[Path], object]
 
 
 def start_cluster(folder: Path) -> object:
-    return cluster.Cluster(folder, SMALL).start()
+    return cluster.Cluster(folder, SMALL_FLEET).start()
 
 
 def start_deployment(folder: Path) -> object:
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -1,4 +1,4 @@
-"""At most once, true "not run", billed once."""
+"""Requests run at most once, are billed once, and "not run" is reported only when it is true."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from tests.faults import CASES, Caller
+from tests.faults import CASES, RequestThread
 from tests.harness.cluster import Cluster
 from tests.harness.oracle import Told, runs, runs_of, told, wait_bills, wait_runs_over
 
@@ -16,12 +16,12 @@
 
 
 class Case:
-    """A keyed request and what callers heard of it."""
+    """A keyed request and the replies to its callers."""
 
     def __init__(self) -> None:
         self.key = f"key-{uuid.uuid4()}"
-        self.heard: list[Told] = []
-        self.false_not_run = False
+        self.replies: list[Told] = []
+        self.wrong_not_run = False
 
 
 @pytest.fixture
@@ -31,24 +31,26 @@
 
 @given("a small fleet")
 def small_fleet(cluster: Cluster) -> None:
-    """The fixture starts it."""
+    """Does nothing: the fixture starts the fleet."""
 
 
 @when(parsers.parse('a keyed request meets "{fault}"'))
-def meets(cluster: Cluster, case: Case, fault: str) -> None:
-    case.heard = CASES[fault](cluster, case.key)
-    case.false_not_run = any(w.ran == "no" for w in case.heard) and bool(runs_of(cluster, case.key))
+def send_during_fault(cluster: Cluster, case: Case, fault: str) -> None:
+    case.replies = CASES[fault](cluster, case.key)
+    case.wrong_not_run = any(w.ran == "no" for w in case.replies) and bool(
+        runs_of(cluster, case.key)
+    )
 
 
 @when("its key is repeated through the other entry")
 def repeated(cluster: Cluster, case: Case) -> None:
-    case.heard += Caller(cluster, "entry-2", case.key, _tokens(cluster, case)).heard()
+    case.replies += RequestThread(cluster, "entry-2", case.key, _tokens(cluster, case)).replies()
 
 
 def _tokens(cluster: Cluster, case: Case) -> int:
-    """As many as the first request asked for: a repeat is the same request."""
-    whole = [word for word in case.heard if word.served]
-    return whole[0].text.count("w") + 1 if whole else 60
+    """Returns the token count of the first request, since a repeat must be the same request."""
+    served = [reply for reply in case.replies if reply.served]
+    return served[0].text.count("w") + 1 if served else 60
 
 
 @then("it ran at most once")
@@ -59,7 +61,7 @@
 
 @then("it was billed as often as it ended")
 def billed(cluster: Cluster, case: Case) -> None:
-    served = {word.request_id for word in case.heard if word.served}
+    served = {reply.request_id for reply in case.replies if reply.served}
     assert len(served) <= 1
     bills = wait_bills(cluster, served)
     ran = {line["request_id"] for line in runs_of(cluster, case.key)}
@@ -69,17 +71,17 @@
 
 
 @then('no "not run" was false')
-def refusals_true(cluster: Cluster, case: Case) -> None:
-    """Nothing may have run by the time a "not run" was heard, nor later without being told."""
-    assert not case.false_not_run, case.heard
+def not_run_is_true(cluster: Cluster, case: Case) -> None:
+    """Checks that nothing ran before a "not run", nor later without another reply saying so."""
+    assert not case.wrong_not_run, case.replies
     if runs_of(cluster, case.key):
-        assert any(word.ran != "no" for word in case.heard), case.heard
+        assert any(reply.ran != "no" for reply in case.replies), case.replies
 
 
 @then(parsers.parse('the last word was "{last}"'))
 def last_word(case: Case, last: str) -> None:
-    word = case.heard[-1]
-    assert (word.code or "served") == last, case.heard
+    reply = case.replies[-1]
+    assert (reply.code or "served") == last, case.replies
 
 
 @when("all agents are frozen, a request is given up on, and they are thawed")
@@ -87,7 +89,7 @@
     agents = list(cluster.fleet.agents)
     for name in agents:
         cluster.freeze(name)
-    case.heard = [told("", cluster.chat("entry-1", tokens=3, ramppost_deadline_ms="700"))]
+    case.replies = [told("", cluster.chat("entry-1", tokens=3, ramppost_deadline_ms="700"))]
     for name in agents:
         cluster.thaw(name)
     time.sleep(1)
@@ -95,14 +97,14 @@
 
 
 @then('no "not run" was false by request id')
-def true_by_id(cluster: Cluster, case: Case) -> None:
+def not_run_is_true_by_request_id(cluster: Cluster, case: Case) -> None:
     ran = {line["request_id"] for line in runs(cluster)}
-    for word in case.heard:
-        assert word.request_id and not word.served
-        assert word.ran != "no" or word.request_id not in ran, word
+    for reply in case.replies:
+        assert reply.request_id and not reply.served
+        assert reply.ran != "no" or reply.request_id not in ran, reply
 
 
 @when(parsers.parse('a keyed request for "{model}" is sent through both entries in turn'))
-def keyed_auto(cluster: Cluster, case: Case, model: str) -> None:
+def send_through_entries(cluster: Cluster, case: Case, model: str) -> None:
     for entry in cluster.entry_names * 2:
-        case.heard.append(told(case.key, cluster.chat(entry, case.key, 5, model=model)))
+        case.replies.append(told(case.key, cluster.chat(entry, case.key, 5, model=model)))
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -15,7 +15,7 @@
 from ramppost.policy.orders import LoadOrder, orders_due
 from ramppost.policy.permissions import ModelVersion
 from ramppost.standin.fleet import ENGINE_MODELS, MESOB, config_doc
-from tests.conftest import SMALL
+from tests.conftest import SMALL_FLEET
 from tests.harness.cluster import Cluster
 from tests.harness.operator import carried_out, confirm, plan_for, reset
 from tests.harness.oracle import runs
@@ -51,7 +51,7 @@
 def fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Cluster]:
     """A small fleet whose engines load the trial's version by order only."""
     models = [m | {"loaded": m["version"] != TRIAL["version"]} for m in ENGINE_MODELS]
-    plan = SMALL._replace(engine_models=models)
+    plan = SMALL_FLEET._replace(engine_models=models)
     ablate = os.environ.get("RAMPPOST_ABLATE", "")
     cluster = Cluster(tmp_path_factory.mktemp("fleet"), plan, ablate)
     for name in cluster.fleet.engines:
