--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -1,6 +1,6 @@
-"""`ramppost audit`: each check on a history that breaks just it, and on sound ones.
+"""`ramppost audit`: each check against a history that violates only this check, and valid ones.
 
-Lines are those that gateways write; the last tests let a real gateway write them.
+The log lines have the form that gateways write; the last test uses those of real gateways.
 """
 
 from __future__ import annotations
@@ -24,65 +24,65 @@
 CHECKS = ("configuration", "confirmed", "one end", "departed", "evacuated", "fatal")
 
 
-def line(module: str, message: str, after_s: float, program: str = "g1", **fields: Any) -> str:
+def log_line(module: str, message: str, after_s: float, program: str = "g1", **fields: Any) -> str:
     at = datetime.fromtimestamp(NOON + after_s, UTC).isoformat()
     head = {"at": at, "level": "INFO", "message": message, "program": program}
     return json.dumps({**head, "module": f"ramppost.gateway.{module}", **fields})
 
 
 def starting(after_s: float, program: str = "g1") -> str:
-    return line("main", "starting", after_s, program)
+    return log_line("main", "starting", after_s, program)
 
 
 def config(version: int, before: int | None, after_s: float, program: str = "g1") -> str:
     fields = {"version": version, "before": before, "revision": 10 * version}
-    return line("watchers", "configuration in force", after_s, program, **fields)
+    return log_line("watchers", "configuration in force", after_s, program, **fields)
 
 
 def attempt(request: str, outcome: str, after_s: float, took_s: float = 0.1, **more: Any) -> str:
     fields = {"request": request, "upstream": "u1", "fingerprint": "f", "took_s": took_s} | more
-    return line("attempt", f"attempt 1: {outcome}", after_s, **fields)
+    return log_line("attempt", f"attempt 1: {outcome}", after_s, **fields)
 
 
 def served(
     request: str, after_s: float, attempts: int = 1, program: str = "g1", age_s: float = 999.0
 ) -> str:
     fields = {"request": request, "attempts": attempts, "took_s": 0.2, "config_age_s": age_s}
-    return line("serve", "served", after_s, program, **fields)
+    return log_line("serve", "served", after_s, program, **fields)
 
 
 def refused(request: str, ran: str, after_s: float) -> str:
     fields = {"request": request, "code": "overloaded", "ran": ran, "held_s": 0.1}
-    return line("serve", "refused: no room", after_s, **fields)
+    return log_line("serve", "refused: no room", after_s, **fields)
 
 
 def fatal(message: str, after_s: float, **fields: Any) -> str:
-    return line("fatal", message, after_s, fingerprint="f", **fields)
+    return log_line("fatal", message, after_s, fingerprint="f", **fields)
 
 
 def evacuation(change: str, after_s: float, program: str = "g1", hall: str = "bole") -> str:
-    return line("evacuations", f"data hall evacuation {change}", after_s, program, hall=hall)
+    return log_line("evacuations", f"data hall evacuation {change}", after_s, program, hall=hall)
 
 
 def upstream(message: str, after_s: float, name: str = "u1") -> str:
-    return line("watchers", f"upstream {message}", after_s, upstream=name, service="lm")
+    return log_line("watchers", f"upstream {message}", after_s, upstream=name, service="lm")
 
 
-def entry_gone(after_s: float, name: str = "u1") -> str:
-    return line("watchers", "upstream's entry gone", after_s, upstream=name)
+def entry_deleted(after_s: float, name: str = "u1") -> str:
+    return log_line("watchers", "upstream's entry gone", after_s, upstream=name)
 
 
-def audited(folder: Path, *lines: str) -> Audit:
+def audit_lines(folder: Path, *lines: str) -> Audit:
     path = folder / "lines.log"
     path.write_text("".join(f"{text}\n" for text in lines))
     return audit([str(path)])
 
 
-def verdicts(found: Audit) -> dict[str, tuple[int, int]]:
+def verdict_counts(found: Audit) -> dict[str, tuple[int, int]]:
     return {c.name: (c.broken, c.undecided) for c in found.checks if c.broken or c.undecided}
 
 
-BREAKING = {
+VIOLATIONS = {
     "sent to an evacuated hall": (
         [
             evacuation("started", 1),
@@ -134,7 +134,7 @@
     "sent to one whose entry has long been gone": (
         [
             upstream("there", 0),
-            entry_gone(1),
+            entry_deleted(1),
             attempt("r", "status 200", 3, candidates=1),
             served("r", 3),
         ],
@@ -144,7 +144,7 @@
         [
             upstream("there", 0),
             upstream("there", 0, "u2"),
-            entry_gone(1),
+            entry_deleted(1),
             attempt("r", "status 200", 2, candidates=2),
             served("r", 2),
         ],
@@ -154,14 +154,14 @@
         [
             upstream("there", 0),
             upstream("leaving", 1),
-            entry_gone(1.5),
+            entry_deleted(1.5),
             attempt("r", "status 200", 2, candidates=1),
             served("r", 2),
         ],
         "departed",
     ),
-    # A gateway took the word of another for a confirmation while the configuration it had put in
-    # force was the one before, and served by that for as long as it was told so.
+    # A gateway accepted a peer's confirmation while its own configuration in force was still the
+    # previous one, and served by that one for as long as the peer confirmed.
     "confirmed, and not in force": (
         [
             config(1, None, 0),
@@ -197,10 +197,10 @@
 }
 
 
-@pytest.mark.parametrize("name", BREAKING)
-def test_a_history_that_breaks_one_promise(name: str, tmp_path: Path) -> None:
-    lines, check = BREAKING[name]
-    assert verdicts(audited(tmp_path, *lines)) == {check: (1, 0)}
+@pytest.mark.parametrize("name", VIOLATIONS)
+def test_a_history_that_violates_one_check(name: str, tmp_path: Path) -> None:
+    lines, check = VIOLATIONS[name]
+    assert verdict_counts(audit_lines(tmp_path, *lines)) == {check: (1, 0)}
 
 
 UNDECIDED = {
@@ -224,9 +224,9 @@
     "sent to one whose entry is gone, after a list": (
         [
             upstream("there", 0),
-            line("watchers", "upstreams listed", 0.5, count=4, revision=7),
+            log_line("watchers", "upstreams listed", 0.5, count=4, revision=7),
             upstream("there", 0.6),
-            entry_gone(1),
+            entry_deleted(1),
             attempt("r", "status 200", 2, candidates=2),
             served("r", 2),
         ],
@@ -254,12 +254,12 @@
 
 
 @pytest.mark.parametrize("name", UNDECIDED)
-def test_what_can_t_be_decided_is_not_passed(name: str, tmp_path: Path) -> None:
+def test_an_undecidable_history_does_not_pass(name: str, tmp_path: Path) -> None:
     lines, check = UNDECIDED[name]
-    assert verdicts(audited(tmp_path, *lines)) == {check: (0, 1)}
+    assert verdict_counts(audit_lines(tmp_path, *lines)) == {check: (0, 1)}
 
 
-SOUND = {
+VALID = {
     "sent before an evacuation, within the slack, and after its end": [
         attempt("a", "status 200", 1, hall="bole"),
         served("a", 1),
@@ -299,22 +299,22 @@
         attempt("r", "status 200", 4, took_s=2.5),
         served("r", 4),
     ],
-    # All engines of a service had ended: one whose entry was gone was tried as the last resort, and
-    # its box refused the connection, so that nothing went there.
+    # All engines of a service had ended: an upstream whose entry was gone was tried as the last
+    # resort, and its box refused the connection, so no request was sent.
     "not sent to one whose entry is gone": [
         upstream("there", 0),
-        entry_gone(1),
+        entry_deleted(1),
         attempt("r", "no connection to a:1", 3),
         refused("r", "no", 3),
     ],
     # All engines of a service had ended, and two entries had gone 1.54 s and 0.7 s before, which
-    # may be an outage of the store's: one of the two was tried as the last resort.  What had its
-    # box by then answered that it is not the one.
+    # may be an outage of the store: one of the two was tried as the last resort.  The process on
+    # its box by then answered that it is another instance (421).
     "sent to the last ones, whose entries have just gone": [
         upstream("there", 0),
         upstream("there", 0, "u2"),
-        entry_gone(1),
-        entry_gone(1.8, "u2"),
+        entry_deleted(1),
+        entry_deleted(1.8, "u2"),
         attempt("r", "refused with 421", 2.55, 0.01, candidates=2),
         refused("r", "no", 2.6),
     ],
@@ -347,7 +347,7 @@
     ],
     "listed anew, with one that left": [
         upstream("leaving", 0),
-        line("watchers", "upstreams listed", 1, count=4, revision=7),
+        log_line("watchers", "upstreams listed", 1, count=4, revision=7),
         attempt("r", "status 200", 3),
         served("r", 3),
     ],
@@ -377,21 +377,21 @@
 }
 
 
-@pytest.mark.parametrize("name", SOUND)
-def test_a_sound_history(name: str, tmp_path: Path) -> None:
-    assert verdicts(audited(tmp_path, *SOUND[name])) == {}
+@pytest.mark.parametrize("name", VALID)
+def test_a_valid_history(name: str, tmp_path: Path) -> None:
+    assert verdict_counts(audit_lines(tmp_path, *VALID[name])) == {}
 
 
-def test_clocks_that_agree_decide_more(tmp_path: Path) -> None:
+def test_a_small_clock_skew_decides_more(tmp_path: Path) -> None:
     lines, check = UNDECIDED["confirmed, and not in force, by clocks that may differ"]
     path = tmp_path / "lines.log"
     path.write_text("".join(f"{text}\n" for text in lines))
-    assert verdicts(audit([str(path)], max_clock_skew_s=1.0)) == {check: (1, 0)}
+    assert verdict_counts(audit([str(path)], max_clock_skew_s=1.0)) == {check: (1, 0)}
 
 
 @st.composite
 def histories(draw: st.DrawFn) -> list[str]:
-    """Sound lines of three gateways, those of each in order."""
+    """Generates valid lines of three gateways, in order within each gateway."""
     by_program: list[list[str]] = []
     for number in range(3):
         program, lines, now = f"g{number}", [starting(0.0, f"g{number}")], 0.0
@@ -410,7 +410,7 @@
                 lines.append(starting(now, program))
                 version = None
             else:
-                lines.append(line("peers", "gateway known", now, program))
+                lines.append(log_line("peers", "gateway known", now, program))
         by_program.append(lines)
     merged = []
     while any(by_program):
@@ -420,12 +420,12 @@
 
 
 @given(histories())
-def test_sound_histories_in_any_order_of_processes(tmp_path_factory: Any, lines: list[str]) -> None:
-    found = audited(tmp_path_factory.mktemp("sound"), *lines)
-    assert verdicts(found) == {} and found.lines == len(lines) and not found.unreadable
+def test_valid_histories_in_any_order_of_processes(tmp_path_factory: Any, lines: list[str]) -> None:
+    found = audit_lines(tmp_path_factory.mktemp("sound"), *lines)
+    assert verdict_counts(found) == {} and found.lines == len(lines) and not found.unreadable
 
 
-# --- files and the command
+# Files and the command line
 
 
 def command(*args: str, given: str = "") -> subprocess.CompletedProcess[str]:
@@ -445,10 +445,10 @@
     path.write_bytes(gzip.compress("\n".join(lines).encode() + b"\n\xff\xfe{\n"))
     found = audit([str(path)])
     assert (found.lines, found.unreadable, found.first_unreadable) == (5, 3, f"{path}:2")
-    assert verdicts(found) == {"configuration": (1, 0)}
+    assert verdict_counts(found) == {"configuration": (1, 0)}
 
 
-def test_the_end_says_what_was_found(tmp_path: Path) -> None:
+def test_exit_code_and_output(tmp_path: Path) -> None:
     good, bad = tmp_path / "good.log", tmp_path / "bad.log"
     good.write_text(f"{config(1, None, 0)}\n")
     bad.write_text(f"{config(2, None, 0)}\n{config(1, 2, 1)}\n")
@@ -472,18 +472,18 @@
     assert shown["checks"][0]["findings"][0]["verdict"] == "broken"
 
 
-def test_the_story_of_a_request(tmp_path: Path) -> None:
+def test_explain_lists_the_lines_of_a_request(tmp_path: Path) -> None:
     path = tmp_path / "lines.log"
     path.write_text(f"{served('r', 2)}\n{attempt('r', 'status 200', 1)}\n{served('other', 3)}\n")
     got = command(str(path), "--explain", "r")
-    told = got.stdout.splitlines()
-    assert len(told) == 2 and "attempt 1: status 200 upstream=u1" in told[0]
-    assert "served attempts=1" in told[1]
+    explained = got.stdout.splitlines()
+    assert len(explained) == 2 and "attempt 1: status 200 upstream=u1" in explained[0]
+    assert "served attempts=1" in explained[1]
     assert command(str(path), "--explain", "none").returncode == 2
 
 
-def test_what_gateways_really_write(tmp_path: Path) -> None:
-    """Each kind of line that a check rests on is found in the lines of real processes."""
+def test_lines_of_real_gateways(tmp_path: Path) -> None:
+    """Checks that the lines of real processes contain each kind of line that a check needs."""
     site = Deployment(tmp_path)
     try:
         asked = [site.call("gateway-1", prefix, KEYS["kitchen"]) for prefix in (STREAM, SAFE)]
@@ -493,6 +493,6 @@
         site.stop()
     logs = sorted(str(path) for path in tmp_path.glob("gateway-*.log"))
     found = audit(logs)
-    assert verdicts(found) == {} and not found.unreadable
-    # Of each gateway its start, its configuration and the upstreams; three ends, two attempts.
+    assert verdict_counts(found) == {} and not found.unreadable
+    # The start and the configuration of each gateway, and three request ends and two attempts.
     assert found.programs == 2 and found.events >= 2 * (1 + 1) + 3 + 2
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -9,12 +9,12 @@
 from tests.harness.chaos import PLANS, chaos
 
 DURATION_S = 10.0
-LEAST_SERVED = 0.8
+MIN_SERVED_SHARE = 0.8
 RUNS = [("mesob", 7), ("toll", 3)]
 
 
 @pytest.mark.parametrize(("name", "seed"), RUNS)
-def test_random_faults_break_none_of_the_ten_points(name: str, seed: int, tmp_path: Path) -> None:
-    share, found = chaos(PLANS[name], seed, DURATION_S, tmp_path)
-    assert found == []
-    assert share >= LEAST_SERVED
+def test_random_faults_violate_none_of_the_ten_points(name: str, seed: int, tmp_path: Path) -> None:
+    share, violations = chaos(PLANS[name], seed, DURATION_S, tmp_path)
+    assert violations == []
+    assert share >= MIN_SERVED_SHARE
--- a/tests/test_claimlog.py
+++ b/tests/test_claimlog.py
@@ -1,4 +1,4 @@
-"""The claim log against the platform stand-in: one grant a key, whoever races."""
+"""The claim log against the platform stand-in: one grant per key under concurrent claims."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from ramppost.wire.client import Pool
 from tests.harness.cluster import free_base
 
-KEYS = 12
-CALLERS = 4
+KEYS_PER_ROUND = 12
+CALLERS_PER_ENTRY = 4
 ROUNDS = 3
-WRITES_S = 30
-CLAIMS_S = 150
-SECONDS = 4
+WRITES_PER_S = 30
+CLAIMS_PER_S = 150
+DURATION_S = 4
 
 
 def claim(key: str, request_id: str, generation: int = 0, state: str = "open") -> Claim:
@@ -54,15 +54,15 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "fresh", "stands"), CASES, ids=[c[0] for c in CASES])
-def test_what_a_held_claim_stands_against(name: str, fresh: Claim, stands: bool) -> None:
+@pytest.mark.parametrize(("name", "fresh", "conflicts"), CASES, ids=[c[0] for c in CASES])
+def test_which_claims_conflict_with_a_held_one(name: str, fresh: Claim, conflicts: bool) -> None:
     shard = Shard()
     shard.update_head(ClaimSegment(seq=0, nonces=["n"], claims=[HELD], ends=[]), 1)
-    assert (shard.conflicting_claim(fresh) is not None) == stands
+    assert (shard.conflicting_claim(fresh) is not None) == conflicts
 
 
-async def started(seed: Path, port: int) -> curio.Task:
-    """The platform stand-in, without rates."""
+async def start_platform(seed: Path, port: int) -> curio.Task:
+    """Starts the platform stand-in without effective rate limits."""
     cfg = build(MESOB).platform | {"seed": str(seed), "listen": {"host": "127.0.0.1", "port": port}}
     cfg["writes_per_s"] = cfg["reads_per_s"] = 100000
     task = await curio.spawn(platform.run, cfg)
@@ -71,42 +71,44 @@
 
 
 def claim_log(port: int, retention_s: float = RETENTION_S) -> ClaimLog:
-    """A claim log of an entry of its own, without a budget."""
+    """Creates a claim log as a separate entry has it, without a call budget."""
     log = ClaimLog(Client(f"127.0.0.1:{port}", Pool()), 0.005, retention_s)
     log.client.take_call = lambda: True  # type: ignore[method-assign]
     return log
 
 
-async def race(seed: Path, port: int) -> tuple[dict[str, list[Claim]], list[tuple[Claim, Claim]]]:
-    """Callers of several entries claim the same keys; grants by key, and what losers were told."""
-    task = await started(seed, port)
+async def race_for_keys(
+    seed: Path, port: int
+) -> tuple[dict[str, list[Claim]], list[tuple[Claim, Claim]]]:
+    """Claims the same keys from several entries; returns grants by key, and the rejected claims."""
+    task = await start_platform(seed, port)
     logs = [claim_log(port) for _ in range(3)]
     grants: dict[str, list[Claim]] = {}
-    taken: list[tuple[Claim, Claim]] = []
+    rejected: list[tuple[Claim, Claim]] = []
 
     async def caller(log: ClaimLog, key: str) -> None:
         mine = claim(key, secrets.token_hex(4))
-        out = await log.claim(mine)
-        if isinstance(out, Granted):
+        outcome = await log.claim(mine)
+        if isinstance(outcome, Granted):
             grants.setdefault(key, []).append(mine)
-        elif isinstance(out, Taken):
-            taken.append((mine, out.held))
+        elif isinstance(outcome, Taken):
+            rejected.append((mine, outcome.held))
 
     for turn in range(ROUNDS):
         async with curio.TaskGroup() as group:
-            for number in range(KEYS):
-                for log in logs * CALLERS:
+            for number in range(KEYS_PER_ROUND):
+                for log in logs * CALLERS_PER_ENTRY:
                     await group.spawn(caller, log, f"key-{turn}-{number}")
     await task.cancel()
-    return grants, taken
+    return grants, rejected
 
 
-def test_each_key_is_granted_once_and_losers_hear_of_the_winner(seed: Path) -> None:
-    grants, taken = curio.run(race, seed, free_base())
-    assert len(grants) == KEYS * ROUNDS
+def test_each_key_is_granted_once_and_rejections_name_the_winner(seed: Path) -> None:
+    grants, rejected = curio.run(race_for_keys, seed, free_base())
+    assert len(grants) == KEYS_PER_ROUND * ROUNDS
     assert all(len(found) == 1 for found in grants.values())
-    won = {found[0]["nonce"] for found in grants.values()}
-    assert taken and all(held["nonce"] in won for _, held in taken)
+    winners = {found[0]["nonce"] for found in grants.values()}
+    assert rejected and all(held["nonce"] in winners for _, held in rejected)
 
 
 @pytest.fixture
@@ -117,74 +119,74 @@
 
 
 def keys_of_shard(shard: int, count: int) -> list[str]:
-    """Callers' keys that fall into a shard."""
+    """Returns idempotency keys that map to a shard."""
     names = (f"key-{n}" for n in range(count * SHARDS * 4))
     return [name for name in names if shard_of(claim_key("ws", name)) == shard][:count]
 
 
-async def sleeper(seed: Path, port: int) -> list[object]:
-    """One entry has read a shard and sleeps while another fills and expires segments."""
-    task = await started(seed, port)
-    old, busy = claim_log(port), claim_log(port, retention_s=0.0)
+async def claim_with_idle_entry(seed: Path, port: int) -> list[object]:
+    """Has one entry read a shard and stay idle while another fills and expires segments."""
+    task = await start_platform(seed, port)
+    idle, writer = claim_log(port), claim_log(port, retention_s=0.0)
     first, *others, last = keys_of_shard(3, MAX_HEAD_RECORDS * 3)
-    assert isinstance(await old.claim(claim(first, "first")), Granted)
+    assert isinstance(await idle.claim(claim(first, "first")), Granted)
     for start in range(0, len(others), 100):
         async with curio.TaskGroup() as group:
             for name in others[start : start + 100]:
-                await group.spawn(busy.claim, claim(name, "other"))
-    assert isinstance(await busy.claim(claim(last, "busy")), Granted)
-    deleted = await busy.expire(3)
+                await group.spawn(writer.claim, claim(name, "other"))
+    assert isinstance(await writer.claim(claim(last, "busy")), Granted)
+    deleted = await writer.expire(3)
     assert deleted >= 1
-    outs = [await old.claim(claim(last, "woken")), await old.claim(claim("new", "woken"))]
+    outcomes = [await idle.claim(claim(last, "woken")), await idle.claim(claim("new", "woken"))]
     await task.cancel()
-    return outs
+    return outcomes
 
 
-def test_an_entry_that_slept_while_segments_were_deleted_grants_no_key_twice(seed: Path) -> None:
-    taken, fresh = curio.run(sleeper, seed, free_base())
-    assert isinstance(taken, Taken) and taken.held["request_id"] == "busy"
+def test_an_entry_idle_while_segments_were_deleted_grants_no_key_twice(seed: Path) -> None:
+    rejected, fresh = curio.run(claim_with_idle_entry, seed, free_base())
+    assert isinstance(rejected, Taken) and rejected.held["request_id"] == "busy"
     assert isinstance(fresh, Granted)
 
 
-async def wrong_clock(seed: Path, port: int) -> object:
-    """Claims whose writer's clock is decades behind are not old for that."""
-    task = await started(seed, port)
+async def claim_with_wrong_clock(seed: Path, port: int) -> object:
+    """Claims keys by a writer whose clock is decades behind, which must not expire the claims."""
+    task = await start_platform(seed, port)
     writer, other = claim_log(port), claim_log(port)
     names = keys_of_shard(3, MAX_HEAD_RECORDS + 10)
     for name in names:
         await writer.claim(claim(name, "first"))
     assert await writer.read_shard(3) and await writer.expire(3) == 0
-    out = await other.claim(claim(names[0], "second"))
+    outcome = await other.claim(claim(names[0], "second"))
     await task.cancel()
-    return out
+    return outcome
 
 
 def test_claims_of_a_writer_whose_clock_is_wrong_are_kept(seed: Path) -> None:
-    assert isinstance(curio.run(wrong_clock, seed, free_base()), Taken)
+    assert isinstance(curio.run(claim_with_wrong_clock, seed, free_base()), Taken)
 
 
-async def over_the_rate(seed: Path, port: int) -> tuple[list[object], int]:
-    """Many keys a second at a platform that takes few writes; outcomes, and segments' groups."""
+async def claim_over_rate(seed: Path, port: int) -> tuple[list[object], int]:
+    """Claims more keys per second than the platform takes writes; returns outcomes and groups."""
     cfg = build(MESOB).platform | {"seed": str(seed), "listen": {"host": "127.0.0.1", "port": port}}
-    cfg["writes_per_s"] = WRITES_S
+    cfg["writes_per_s"] = WRITES_PER_S
     task = await curio.spawn(platform.run, cfg)
     await curio.sleep(0.2)
     log = claim_log(port)
-    outs: list[object] = []
+    outcomes: list[object] = []
 
     async def caller(number: int) -> None:
-        outs.append(await log.claim(claim(f"key-{number}", "first")))
+        outcomes.append(await log.claim(claim(f"key-{number}", "first")))
 
     async with curio.TaskGroup() as group:
-        for number in range(CLAIMS_S * SECONDS):
+        for number in range(CLAIMS_PER_S * DURATION_S):
             await group.spawn(caller, number)
-            await curio.sleep(1 / CLAIMS_S)
+            await curio.sleep(1 / CLAIMS_PER_S)
     await task.cancel()
-    return outs, log.groups_written
+    return outcomes, log.groups_written
 
 
-def test_claims_over_the_platforms_rate_wait_for_each_other(seed: Path) -> None:
-    outs, groups = curio.run(over_the_rate, seed, free_base())
-    assert len(outs) == CLAIMS_S * SECONDS
-    assert all(isinstance(out, Granted) for out in outs)
-    assert groups < len(outs) / 2
+def test_claims_over_the_platforms_rate_are_grouped(seed: Path) -> None:
+    outcomes, groups = curio.run(claim_over_rate, seed, free_base())
+    assert len(outcomes) == CLAIMS_PER_S * DURATION_S
+    assert all(isinstance(outcome, Granted) for outcome in outcomes)
+    assert groups < len(outcomes) / 2
--- a/tests/test_harness_ports.py
+++ b/tests/test_harness_ports.py
@@ -1,8 +1,8 @@
-"""Runs of tests beside each other, each with processes on ports of its own.
+"""Concurrent test runs use separate port blocks.
 
-Two runs chose the same free block of ports at the same moment: stores and upstreams ended with
-`Address already in use`, gateways asked the other run's processes, which answered 401, and the
-tests gave up with `gateway-2 did not come in 15.0 s`.
+Guards against two runs that choose the same free block at the same moment: stores and upstreams
+ended with `Address already in use`, and gateways called the other run's processes, which answered
+401, until the tests failed with `gateway-2 did not come in 15.0 s`.
 """
 
 from __future__ import annotations
@@ -13,18 +13,21 @@
 from tests.harness.cluster import free_base
 
 RUNS = 4
-CHOOSE = (
+CHOOSE_PORTS = (
     "import os; os.getpid = lambda: 7\n"
     "from tests.harness.cluster import free_base; print(free_base(), flush=True); input()"
 )
-"""As runs whose numbers lead to the same block do."""
+"""Chooses a block with a fixed process ID, so that all runs start at the same block."""
 
 
-def test_runs_beside_each_other_have_ports_of_their_own() -> None:
-    """None of them listens yet when the others choose."""
+def test_concurrent_runs_get_separate_ports() -> None:
+    """No run listens on its ports yet when the others choose theirs."""
     runs = [
         subprocess.Popen(
-            [sys.executable, "-c", CHOOSE], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
+            [sys.executable, "-c", CHOOSE_PORTS],
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            text=True,
         )
         for _ in range(RUNS)
     ]
@@ -34,5 +37,5 @@
     assert len(set(bases)) == RUNS
 
 
-def test_a_run_may_have_its_ports_again() -> None:
+def test_a_run_gets_the_same_ports_again() -> None:
     assert free_base() == free_base()
--- a/tests/test_harness_starts.py
+++ b/tests/test_harness_starts.py
@@ -1,7 +1,7 @@
-"""Deployments whose processes don't come up in time leave none behind.
+"""Deployments whose processes do not start in time leave no process running.
 
-On a busy machine a stand-in needed 15 s to its first line, the tests gave up, and nine processes of
-theirs ran on beside all that followed, until somebody ended them.
+Guards against leaked processes: on a busy machine a stand-in needed 15 s to its first line, the
+tests failed, and nine of their processes kept running beside all later tests.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from tests.conftest import SMALL_FLEET
 from tests.harness import cluster, gateways
 
-Start = Callable[[Path], object]
+StartFunction = Callable[[Path], object]
 
 
 def start_cluster(folder: Path) -> object:
@@ -27,24 +27,24 @@
     return gateways.Deployment(folder)
 
 
-def never(site: gateways.Deployment, name: str) -> None:
-    raise AssertionError(f"{name} did not come")
+def fail_wait_ready(site: gateways.Deployment, name: str) -> None:
+    raise AssertionError(f"{name} did not start")
 
 
 @pytest.mark.parametrize("start", [start_cluster, start_deployment])
-def test_what_was_started_ends(
-    start: Start, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+def test_a_failed_start_leaves_no_process(
+    start: StartFunction, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     started: list[subprocess.Popen[bytes]] = []
     popen = subprocess.Popen
 
-    def noted(*args: Any, **kwargs: Any) -> subprocess.Popen[bytes]:
+    def recording_popen(*args: Any, **kwargs: Any) -> subprocess.Popen[bytes]:
         started.append(popen(*args, **kwargs))
         return started[-1]
 
-    monkeypatch.setattr(subprocess, "Popen", noted)
+    monkeypatch.setattr(subprocess, "Popen", recording_popen)
     monkeypatch.setattr(cluster, "READY_S", 0.0)
-    monkeypatch.setattr(gateways.Deployment, "wait_ready", never)
+    monkeypatch.setattr(gateways.Deployment, "wait_ready", fail_wait_ready)
     with pytest.raises((TimeoutError, AssertionError)):
         start(tmp_path)
     assert started
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,17 +1,17 @@
-"""Figures of a gateway as a scraper reads them."""
+"""Metrics of a gateway as a scraper reads them."""
 
 from __future__ import annotations
 
 from ramppost.gateway.metrics import Metrics
 
 
-def test_figures_are_told_again_and_again() -> None:
-    """A gateway told its figures once.
+def test_metrics_can_be_scraped_repeatedly() -> None:
+    """Guards against a gateway that answers only its first scrape.
 
-    Each scrape makes its collectors anew, and the library enters them in a register of the whole
-    process, too, where the names of the first scrape still stood: every later scrape ended with
-    `A collector for ramppost_attempts_total is already registered` and no answer.  A scraper that
-    asked each five seconds had one set of figures of the whole incident.
+    Each scrape creates its collectors anew, and the library also registered them process-wide,
+    where the names of the first scrape remained: every later scrape failed with
+    `A collector for ramppost_attempts_total is already registered`.  A scraper with an interval of
+    five seconds got one set of metrics for a whole incident.
     """
     metrics = Metrics()
     metrics.count("ramppost_attempts_total", outcome="running")
