--- a/tests/test_fatal_policy.py
+++ b/tests/test_fatal_policy.py
@@ -1,4 +1,4 @@
-"""Who is held to end upstreams, by the word of all gateways, where many requests are beside it."""
+"""Detection of fatal requests from the evidence of all gateways, with many requests in flight."""
 
 from __future__ import annotations
 
@@ -29,106 +29,112 @@
 )
 from ramppost.policy.relays import MAX_EVIDENCE_COLLECTORS, MAX_FLAT_FLEET, Peers
 
-LOST = 0.01
+DATAGRAM_LOSS = 0.01
 
 
 class Case(NamedTuple):
-    """What speaks against a request at each end, beside a stronger suspect or not."""
+    """The evidence levels of a request, and of the requests in flight beside it, at each crash."""
 
-    what: str
-    signs: list[int]
-    beside: list[int]
+    name: str
+    levels: list[int]
+    in_flight: list[int]
     fatal: bool
 
 
 CASES = [
-    Case("twice may be chance", [JUST_BEGUN] * 2, [], False),
-    Case("three times just begun", [JUST_BEGUN] * FATAL_START_ENDS, [], True),
-    Case("three times all waited", [WAITED] * FATAL_START_ENDS, [WAITED], False),
-    Case("four times all waited", [WAITED] * FATAL_TOP_SUSPECT_ENDS, [WAITED], True),
-    Case("waited, then streamed twice", [WAITED, STREAMED, STREAMED], [], False),
-    Case("three times one had just begun", [WAITED] * FATAL_START_ENDS, [JUST_BEGUN], False),
-    Case("streamed beside one just begun", [STREAMED] * FATAL_START_ENDS, [JUST_BEGUN], False),
-    Case("its head never comes out", [WAITED] * FATAL_PRESENT_ENDS, [STREAMED], True),
-    Case("it ends them slowly", [RAN] * FATAL_PRESENT_ENDS, [JUST_BEGUN], True),
-    Case("it runs on each time", [HARMLESS] * 9, [], False),
+    Case("two crashes may be chance", [JUST_BEGUN] * 2, [], False),
+    Case("just begun at three crashes", [JUST_BEGUN] * FATAL_START_ENDS, [], True),
+    Case("all waited at three crashes", [WAITED] * FATAL_START_ENDS, [WAITED], False),
+    Case("all waited at four crashes", [WAITED] * FATAL_TOP_SUSPECT_ENDS, [WAITED], True),
+    Case("waited once, then streamed twice", [WAITED, STREAMED, STREAMED], [], False),
+    Case(
+        "another had just begun at three crashes", [WAITED] * FATAL_START_ENDS, [JUST_BEGUN], False
+    ),
+    Case(
+        "streamed while another had just begun", [STREAMED] * FATAL_START_ENDS, [JUST_BEGUN], False
+    ),
+    Case(
+        "crashes before its response head is sent", [WAITED] * FATAL_PRESENT_ENDS, [STREAMED], True
+    ),
+    Case("crashes engines after a long run", [RAN] * FATAL_PRESENT_ENDS, [JUST_BEGUN], True),
+    Case("keeps running at each crash", [HARMLESS] * 9, [], False),
 ]
 
 
-@pytest.mark.parametrize("case", CASES, ids=lambda case: case.what)
-def test_what_makes_it_certain(case: Case) -> None:
-    docket = CrashHistory()
-    for number, sign in enumerate(case.signs):
-        docket.record_end(f"e{number}", "it", sign, float(number))
-        for beside in case.beside:
-            docket.record_end(f"e{number}", f"other-{number}", beside, float(number))
-    assert docket.is_fatal("it", len(case.signs) + EVIDENCE_WAIT_S) == case.fatal
+@pytest.mark.parametrize("case", CASES, ids=lambda case: case.name)
+def test_evidence_that_makes_a_request_fatal(case: Case) -> None:
+    history = CrashHistory()
+    for number, level in enumerate(case.levels):
+        history.record_end(f"e{number}", "it", level, float(number))
+        for in_flight in case.in_flight:
+            history.record_end(f"e{number}", f"other-{number}", in_flight, float(number))
+    assert history.is_fatal("it", len(case.levels) + EVIDENCE_WAIT_S) == case.fatal
 
 
-def test_one_end_told_by_several_counts_once() -> None:
-    docket = CrashHistory()
+def test_a_crash_reported_several_times_counts_once() -> None:
+    history = CrashHistory()
     for _ in range(9):
-        docket.record_end("e", "it", JUST_BEGUN, 0.0)
-    assert not docket.is_fatal("it", 1.0)
+        history.record_end("e", "it", JUST_BEGUN, 0.0)
+    assert not history.is_fatal("it", 1.0)
 
 
-def test_a_weak_suspicion_awaits_the_word_of_others() -> None:
-    docket = CrashHistory()
+def test_weak_evidence_waits_for_reports_of_other_gateways() -> None:
+    history = CrashHistory()
     for number in range(FATAL_TOP_SUSPECT_ENDS):
-        docket.record_end(f"e{number}", "beside", STREAMED, 0.0)
-    assert not docket.is_fatal("beside", 0.1)
+        history.record_end(f"e{number}", "beside", STREAMED, 0.0)
+    assert not history.is_fatal("beside", 0.1)
     for number in range(FATAL_TOP_SUSPECT_ENDS):
-        docket.record_end(f"e{number}", "it", JUST_BEGUN, 0.2)
-    assert docket.is_fatal("it", 0.2)
-    assert not docket.is_fatal("beside", EVIDENCE_WAIT_S)
+        history.record_end(f"e{number}", "it", JUST_BEGUN, 0.2)
+    assert history.is_fatal("it", 0.2)
+    assert not history.is_fatal("beside", EVIDENCE_WAIT_S)
 
 
-def test_an_end_that_is_explained_counts_against_nobody_else() -> None:
-    docket = CrashHistory()
+def test_an_explained_crash_does_not_count_against_other_requests() -> None:
+    history = CrashHistory()
     for number in range(FATAL_START_ENDS):
-        docket.record_end(f"e{number}", "it", JUST_BEGUN, 0.0)
-    assert docket.is_fatal("it", 0.0)
+        history.record_end(f"e{number}", "it", JUST_BEGUN, 0.0)
+    assert history.is_fatal("it", 0.0)
     for number in range(FATAL_START_ENDS):
-        docket.record_end(f"e{number}", "twin", JUST_BEGUN, 0.1)
-    assert not docket.is_fatal("twin", EVIDENCE_WAIT_S)
+        history.record_end(f"e{number}", "twin", JUST_BEGUN, 0.1)
+    assert not history.is_fatal("twin", EVIDENCE_WAIT_S)
 
 
-def test_whoever_is_answered_is_harmless() -> None:
-    """A page that many ask for is in flight at every end, and answered all the time."""
-    docket = CrashHistory()
+def test_an_answered_request_is_harmless() -> None:
+    """A popular page is in flight at every crash, but is also answered all the time."""
+    history = CrashHistory()
     for number in range(20):
-        docket.record_end(f"e{number}", "page", JUST_BEGUN, float(number))
-        docket.record_end(f"f{number}", "page", JUST_BEGUN, float(number))
-        docket.record_answer("page", number + 0.5)
-    assert not docket.is_fatal("page", 20.0)
-    assert docket.is_harmless("page", 20.0)
-    assert not docket.is_harmless("page", 20.0 + RETENTION_S)
+        history.record_end(f"e{number}", "page", JUST_BEGUN, float(number))
+        history.record_end(f"f{number}", "page", JUST_BEGUN, float(number))
+        history.record_answer("page", number + 0.5)
+    assert not history.is_fatal("page", 20.0)
+    assert history.is_harmless("page", 20.0)
+    assert not history.is_harmless("page", 20.0 + RETENTION_S)
 
 
-def test_what_is_kept_is_bounded() -> None:
-    docket = CrashHistory()
+def test_memory_is_bounded() -> None:
+    history = CrashHistory()
     for number in range(3 * MAX_ENDS):
         for under in range(MAX_REQUESTS_PER_END + 5):
-            docket.record_end(f"e{number}", f"r{under}-{number % 7}", WAITED, 0.0)
-        docket.record_end(f"e{number}", f"bad{number // FATAL_START_ENDS}", JUST_BEGUN, 0.0)
+            history.record_end(f"e{number}", f"r{under}-{number % 7}", WAITED, 0.0)
+        history.record_end(f"e{number}", f"bad{number // FATAL_START_ENDS}", JUST_BEGUN, 0.0)
     for number in range(2 * MAX_FATAL):
         for end in range(FATAL_START_ENDS):
-            docket.record_end(f"x{number}-{end}", f"bad{number}", JUST_BEGUN, 1.0)
-        assert docket.is_fatal(f"bad{number}", 1.0)
+            history.record_end(f"x{number}-{end}", f"bad{number}", JUST_BEGUN, 1.0)
+        assert history.is_fatal(f"bad{number}", 1.0)
     for number in range(2 * MAX_HARMLESS):
-        docket.record_answer(f"fine{number}", 1.0)
-    assert len(docket.fatal) <= MAX_FATAL
-    assert len(docket._ends) <= MAX_ENDS
-    assert len(docket._harmless) <= MAX_HARMLESS
+        history.record_answer(f"fine{number}", 1.0)
+    assert len(history.fatal) <= MAX_FATAL
+    assert len(history._ends) <= MAX_ENDS
+    assert len(history._harmless) <= MAX_HARMLESS
     assert (
-        sum(len(under) for under in docket._ends_by_request.values())
+        sum(len(under) for under in history._ends_by_request.values())
         <= MAX_ENDS * MAX_REQUESTS_PER_END
     )
-    docket.record_end("late", "r", WAITED, 2 * RETENTION_S)
-    assert len(docket._ends) == 1
+    history.record_end("late", "r", WAITED, 2 * RETENTION_S)
+    assert len(history._ends) == 1
 
 
-def test_how_far_it_had_come_decides() -> None:
+def test_evidence_level_depends_on_progress() -> None:
     assert evidence_level(0.1, 0) == JUST_BEGUN
     assert evidence_level(0.1, 3) == STREAMED
     assert evidence_level(LONG_RUN_S, 0) == RAN
@@ -136,81 +142,83 @@
     assert evidence_level(None, 0) == WAITED
 
 
-class Storm:
-    """Engines that end one after the other under one request, with others beside it.
+class CrashSimulation:
+    """Simulates engines that crash in sequence under one request, with others in flight.
 
-    Callers of a fleet of gateways have streams and waiting prompts at each engine.  What breaks
-    off is taken up at the next engine, and may be there as that ends, too.
+    Callers of a fleet of gateways have streams and waiting prompts at each engine.  Interrupted
+    requests are resumed at the next engine, and may be in flight when it crashes, too.
     """
 
     def __init__(self, gateways: int, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.dockets = [CrashHistory() for _ in range(gateways)]
-        self.judges = (
+        self.histories = [CrashHistory() for _ in range(gateways)]
+        self.collectors = (
             range(gateways) if gateways <= MAX_FLAT_FLEET else range(MAX_EVIDENCE_COLLECTORS)
         )
-        self.beside: list[str] = []
+        self.in_flight: list[str] = []
         self.ends = 0
 
     def end(self, now: float) -> None:
-        """An engine ends under the request, and each gateway tells of what it had there."""
+        """Crashes an engine under the request; gateways report their requests in flight there."""
         self.ends += 1
-        self.tell("bad", JUST_BEGUN, now)
-        # Two of three that were beside it are there again, taken up or sent again.
-        again = [name for name in self.beside if self.rng.random() < 2 / 3]
+        self.report("bad", JUST_BEGUN, now)
+        # Two of three requests from the last crash are in flight again, resumed or retried.
+        resumed = [name for name in self.in_flight if self.rng.random() < 2 / 3]
         fresh = [f"other-{self.ends}-{number}" for number in range(20)]
-        self.beside = again + fresh
-        for name in self.beside:
+        self.in_flight = resumed + fresh
+        for name in self.in_flight:
             began = self.rng.random() < 0.6
             since_head_s = self.rng.expovariate(1 / 2.0) if began else None
             events = 0 if began and (since_head_s or 0.0) < 0.06 else 5
-            self.tell(name, evidence_level(since_head_s, events), now)
+            self.report(name, evidence_level(since_head_s, events), now)
 
-    def tell(self, name: str, sign: int, now: float) -> None:
-        own = self.rng.randrange(len(self.dockets))
-        for number in {own, *self.judges}:
+    def report(self, name: str, level: int, now: float) -> None:
+        own = self.rng.randrange(len(self.histories))
+        for number in {own, *self.collectors}:
             # Datagrams are sent twice, and one in a hundred is lost.
-            if number == own or self.rng.random() > LOST**2:
-                self.dockets[number].record_end(f"e{self.ends}", name, sign, now)
+            if number == own or self.rng.random() > DATAGRAM_LOSS**2:
+                self.histories[number].record_end(f"e{self.ends}", name, level, now)
 
-    def held(self, now: float) -> set[str]:
-        """What any of those who judge holds to be fatal."""
+    def fatal_requests(self, now: float) -> set[str]:
+        """Returns the requests that any of the collectors holds to be fatal."""
         found = set()
-        for number in self.judges:
-            docket = self.dockets[number]
-            found |= {name for name in list(docket._ends_by_request) if docket.is_fatal(name, now)}
+        for number in self.collectors:
+            history = self.histories[number]
+            found |= {
+                name for name in list(history._ends_by_request) if history.is_fatal(name, now)
+            }
         return found
 
 
 @pytest.mark.parametrize("gateways", [4, 23, 68])
-def test_a_storm_holds_the_one_request_and_nobody_beside_it(gateways: int) -> None:
-    """Fifty storms: the third end makes it certain, and of 3,000 others none is held."""
+def test_repeated_crashes_identify_the_fatal_request_and_no_other(gateways: int) -> None:
+    """In fifty runs the third crash identifies the request, and none of 3,000 others is held."""
     for seed in range(50):
-        storm = Storm(gateways, seed)
+        simulation = CrashSimulation(gateways, seed)
         for number in range(FATAL_START_ENDS):
-            storm.end(0.2 * number)
-        assert storm.held(0.2 * FATAL_START_ENDS) == {"bad"}, seed
-        assert storm.held(0.2 * FATAL_START_ENDS + EVIDENCE_WAIT_S) == {"bad"}, seed
+            simulation.end(0.2 * number)
+        assert simulation.fatal_requests(0.2 * FATAL_START_ENDS) == {"bad"}, seed
+        assert simulation.fatal_requests(0.2 * FATAL_START_ENDS + EVIDENCE_WAIT_S) == {"bad"}, seed
 
 
-def test_whoever_does_not_hear_all_goes_by_strong_suspicions_only() -> None:
-    """In a large fleet most gateways know only what they had there themselves: a request of theirs
-    that waited at each engine that ended seemed the strongest suspect of all."""
-    docket = CrashHistory()
+def test_without_all_evidence_only_strong_evidence_counts() -> None:
+    """In a large fleet most gateways know only their own requests at a crash.  One that waited at
+    each crashed engine then looked like the strongest suspect of all."""
+    history = CrashHistory()
     for number in range(FATAL_TOP_SUSPECT_ENDS + 1):
-        docket.record_end(f"e{number}", "waited", WAITED, float(number))
-    assert docket.is_fatal("waited", 9.0, has_all_evidence=True)
-    docket = CrashHistory()
+        history.record_end(f"e{number}", "waited", WAITED, float(number))
+    assert history.is_fatal("waited", 9.0, has_all_evidence=True)
+    history = CrashHistory()
     for number in range(FATAL_TOP_SUSPECT_ENDS + 1):
-        docket.record_end(f"e{number}", "waited", WAITED, float(number))
-        docket.record_end(f"e{number}", "it", JUST_BEGUN, float(number))
+        history.record_end(f"e{number}", "waited", WAITED, float(number))
+        history.record_end(f"e{number}", "it", JUST_BEGUN, float(number))
     for number in range(FATAL_TOP_SUSPECT_ENDS + 1):
-        docket.record_end(f"f{number}", "waited", WAITED, float(number))
-    assert docket.is_fatal("it", 9.0, has_all_evidence=False)
-    assert not docket.is_fatal("waited", 9.0, has_all_evidence=False)
+        history.record_end(f"f{number}", "waited", WAITED, float(number))
+    assert history.is_fatal("it", 9.0, has_all_evidence=False)
+    assert not history.is_fatal("waited", 9.0, has_all_evidence=False)
 
 
-def test_those_who_are_told_hear_all() -> None:
+def test_evidence_collectors_have_all_evidence() -> None:
     small, first, last = Peers("g1", 100.0, "bole"), Peers("g0", 100.0, "bole"), Peers("g0")
     small.put("g2", "10.0.0.1:2", "bole", 100.0)
     assert small.has_all_evidence(0.0)
@@ -223,7 +231,7 @@
     assert first.has_all_evidence(0.0)
 
 
-def test_a_large_fleet_tells_few() -> None:
+def test_a_large_fleet_reports_to_few_collectors() -> None:
     peers = Peers("g0", 100.0, "bole")
     for number in range(1, 410):
         peers.put(f"g{number}", f"10.0.0.1:{number}", "bole", 100.0)
