--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Whole, own answers."""
+"""Callers get complete answers, and only their own."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 scenarios("features/answers.feature")
 
 FIRST_TOKENS = 10
-STRIKES = 4
+FAULT_COUNT = 4
 
 
-class Heard(NamedTuple):
-    """What a caller asked for and holds."""
+class ReceivedAnswer(NamedTuple):
+    """The requested token count and the answer that a caller got."""
 
     tokens: int
     text: str
@@ -29,16 +29,16 @@
 
 
 class Context:
-    """What a scenario remembers."""
+    """The state shared by the steps of a scenario."""
 
     def __init__(self) -> None:
-        self.heard: list[Heard] = []
+        self.answers: list[ReceivedAnswer] = []
         self.stream_token = ""
         self.last_event = ""
         self.text = ""
         self.ended = False
         self.request_id = ""
-        self.told: Told | None = None
+        self.reply: Told | None = None
 
 
 @pytest.fixture
@@ -48,11 +48,11 @@
 
 @given("a small fleet")
 def small_fleet(cluster: Cluster) -> None:
-    """The fixture starts it."""
+    """Does nothing: the fixture starts the fleet."""
 
 
 def read_events(got: httpx.Response, ctx: Context, stop_after: int = 10**6) -> None:
-    """Read server-sent events into the context."""
+    """Reads server-sent events into the context."""
     seen = 0
     for line in got.iter_lines():
         if line.startswith("id: "):
@@ -81,19 +81,19 @@
     return httpx.stream("POST", url, json=body, headers=head, timeout=30)
 
 
-def ask(cluster: Cluster, form: str, tokens: int, heard: list[Heard]) -> None:
+def ask(cluster: Cluster, form: str, tokens: int, answers: list[ReceivedAnswer]) -> None:
     entry = cluster.entry_names[tokens % 2]
     try:
         if form == "plain":
-            word = told("", cluster.chat(entry, tokens=tokens, model="large"))
-            heard.append(Heard(tokens, word.text, word.served))
+            reply = told("", cluster.chat(entry, tokens=tokens, model="large"))
+            answers.append(ReceivedAnswer(tokens, reply.text, reply.served))
             return
         ctx = Context()
         with open_stream(cluster, entry, tokens) as got:
             read_events(got, ctx)
-        heard.append(Heard(tokens, ctx.text, ctx.ended))
+        answers.append(ReceivedAnswer(tokens, ctx.text, ctx.ended))
     except httpx.HTTPError:
-        heard.append(Heard(tokens, "", False))
+        answers.append(ReceivedAnswer(tokens, "", False))
 
 
 @when(
@@ -102,7 +102,7 @@
 def callers_ask(cluster: Cluster, ctx: Context, n: int, form: str, link: str, fault: str) -> None:
     group = cluster.agent_proxy if link == "agent" else cluster.upstream_proxy
     threads = [
-        threading.Thread(target=ask, args=(cluster, form, FIRST_TOKENS + i, ctx.heard))
+        threading.Thread(target=ask, args=(cluster, form, FIRST_TOKENS + i, ctx.answers))
         for i in range(n)
     ]
     for thread in threads:
@@ -110,14 +110,14 @@
     time.sleep(0.05)
     for name in cluster.fleet.agents:
         if fault != "nothing":
-            group[name].set(fault, STRIKES, delay_s=0.3)
+            group[name].set(fault, FAULT_COUNT, delay_s=0.3)
     for thread in threads:
         thread.join(60)
 
 
 @then("no caller holds an answer that is not its own and whole")
 def own_and_whole(ctx: Context) -> None:
-    for got in ctx.heard:
+    for got in ctx.answers:
         if got.ended:
             assert whole(got.text, got.tokens), got
         else:
@@ -126,8 +126,8 @@
 
 @then(parsers.parse("at least {served:d} of {n:d} callers are served"))
 def served(ctx: Context, served: int, n: int) -> None:
-    assert len(ctx.heard) == n
-    assert sum(got.ended for got in ctx.heard) >= served, ctx.heard
+    assert len(ctx.answers) == n
+    assert sum(got.ended for got in ctx.answers) >= served, ctx.answers
 
 
 @when("a caller reads a stream and its entry is killed half-way")
@@ -164,10 +164,10 @@
         token = got.headers["ramppost-stream"]
         got.read()
     got = cluster.chat("entry-2", token="toll-dev", ramppost_stream=token, stream=True)
-    ctx.told = told("", got)
+    ctx.reply = told("", got)
 
 
 @then(parsers.parse('it is refused with "{code}" and ran "{ran}"'))
 def refused(ctx: Context, code: str, ran: str) -> None:
-    assert ctx.told is not None
-    assert (ctx.told.code, ctx.told.ran) == (code, ran)
+    assert ctx.reply is not None
+    assert (ctx.reply.code, ctx.reply.ran) == (code, ran)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""The callers' interface."""
+"""The HTTP interface for callers."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 scenarios("features/callers.feature")
 
 DOCS = Path(__file__).parents[1] / "docs"
-GOOD = {"model": "large", "max_tokens": 3, "messages": [{"role": "user", "content": "x"}]}
+VALID_BODY = {"model": "large", "max_tokens": 3, "messages": [{"role": "user", "content": "x"}]}
 
 
-class Got(NamedTuple):
-    """Status and body of an answer."""
+class Response(NamedTuple):
+    """Status, body and headers of a response."""
 
     status: int
     body: Any
@@ -35,10 +35,10 @@
 
 
 class Context:
-    """What a scenario remembers."""
+    """The state shared by the steps of a scenario."""
 
     def __init__(self) -> None:
-        self.got: list[Got] = []
+        self.responses: list[Response] = []
         self.texts: list[tuple[str, int]] = []
 
 
@@ -49,20 +49,20 @@
 
 @given("a small fleet")
 def small_fleet(cluster: Cluster) -> None:
-    """The fixture starts it."""
+    """Does nothing: the fixture starts the fleet."""
 
 
-def post(cluster: Cluster, body: Any = GOOD, token: str = "mesob-dev", **kw: Any) -> Got:
+def post(cluster: Cluster, body: Any = VALID_BODY, token: str = "mesob-dev", **kw: Any) -> Response:
     head = {"authorization": f"Bearer {token}", **kw.pop("headers", {})}
     url = cluster.url("entry-1") + kw.pop("path", "/v1/chat/completions")
     content = {"content": body} if isinstance(body, bytes) else {"json": body}
     got = cluster.http.post(url, headers=head, **content)
     streamed = got.headers["content-type"].startswith("text/event-stream")
-    return Got(got.status_code, got.text if streamed else got.json(), got.headers)
+    return Response(got.status_code, got.text if streamed else got.json(), got.headers)
 
 
-def raw(cluster: Cluster, data: bytes) -> Got:
-    """Send bytes and read what comes until the connection is closed."""
+def send_raw(cluster: Cluster, data: bytes) -> Response:
+    """Sends bytes and reads the response until the connection is closed."""
     listen = cluster.fleet.entries["entry-1"]["listen"]
     with socket.create_connection((listen["host"], listen["port"]), timeout=15) as sock:
         sock.sendall(data)
@@ -70,38 +70,38 @@
         while piece := sock.recv(65536):
             answer += piece
     head, _, body = answer.partition(b"\r\n\r\n")
-    return Got(int(head.split()[1]), httpx.Response(200, content=body).json(), {})
+    return Response(int(head.split()[1]), httpx.Response(200, content=body).json(), {})
 
 
-def used_key(cluster: Cluster) -> Got:
+def used_key(cluster: Cluster) -> Response:
     head = {"idempotency-key": "used"}
     assert post(cluster, headers=head).status == 200
-    return post(cluster, GOOD | {"max_tokens": 4}, headers=head)
+    return post(cluster, VALID_BODY | {"max_tokens": 4}, headers=head)
 
 
 JSON_TYPE = {"content-type": "application/json"}
 HEAD = b"POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n"
-SENDS: dict[str, Callable[[Cluster], Got]] = {
+SENDERS: dict[str, Callable[[Cluster], Response]] = {
     "no token": lambda c: post(c, headers={"authorization": ""}),
     "an unknown token": lambda c: post(c, token="nobody"),
-    "an unknown model": lambda c: post(c, GOOD | {"model": "huge"}),
-    "an unknown version": lambda c: post(c, GOOD | {"model": "large@v9"}),
+    "an unknown model": lambda c: post(c, VALID_BODY | {"model": "huge"}),
+    "an unknown version": lambda c: post(c, VALID_BODY | {"model": "large@v9"}),
     "a body that is not JSON": lambda c: post(
         c, b"{", headers={"content-type": "application/json"}
     ),
-    "no messages": lambda c: post(c, GOOD | {"messages": []}),
-    "messages of a wrong type": lambda c: post(c, GOOD | {"messages": "x"}),
+    "no messages": lambda c: post(c, VALID_BODY | {"messages": []}),
+    "messages of a wrong type": lambda c: post(c, VALID_BODY | {"messages": "x"}),
     "the wrong content type": lambda c: post(c, b"{}", headers={"content-type": "text/plain"}),
     "an unknown class": lambda c: post(c, headers={"ramppost-class": "none"}),
     "a deadline that is no number": lambda c: post(c, headers={"ramppost-deadline-ms": "soon"}),
     "a key that is too long": lambda c: post(c, headers={"idempotency-key": "k" * 300}),
     "a key used for another request": used_key,
-    "a body that is too large": lambda c: raw(
+    "a body that is too large": lambda c: send_raw(
         c, HEAD + b"content-length: 2000000\r\n\r\n" + b"x" * 1100000
     ),
-    "a head that is too large": lambda c: raw(c, HEAD + b"x-big: " + b"y" * 70000),
-    "a request that is not HTTP": lambda c: raw(c, b"\x16\x03\x01 what is this\r\n\r\n"),
-    "a body that never comes": lambda c: raw(c, HEAD + b"content-length: 10\r\n\r\n123"),
+    "a head that is too large": lambda c: send_raw(c, HEAD + b"x-big: " + b"y" * 70000),
+    "a request that is not HTTP": lambda c: send_raw(c, b"\x16\x03\x01 what is this\r\n\r\n"),
+    "a body that never comes": lambda c: send_raw(c, HEAD + b"content-length: 10\r\n\r\n123"),
     "an unknown path": lambda c: post(c, path="/v2/none"),
     "a service it may not call": lambda c: post(c, path="/services/other/x"),
 }
@@ -109,12 +109,12 @@
 
 @when(parsers.parse("a caller sends {what}"))
 def sends(cluster: Cluster, ctx: Context, what: str) -> None:
-    ctx.got.append(SENDS[what](cluster))
+    ctx.responses.append(SENDERS[what](cluster))
 
 
 @then(parsers.parse('the answer has status {status:d}, code "{code}" and ran "{ran}"'))
 def answered(ctx: Context, status: int, code: str, ran: str) -> None:
-    got = ctx.got[-1]
+    got = ctx.responses[-1]
     error = got.body["error"]
     assert (got.status, error["code"], error["ran"]) == (status, code, ran)
     assert {"message", "type", "param", "retry_after_s"} <= set(error)
@@ -148,13 +148,13 @@
 
 @when(parsers.parse('a caller calls the service "{name}"'))
 def calls(cluster: Cluster, ctx: Context, name: str) -> None:
-    ctx.got.append(post(cluster, {"q": 1}, path=f"/services/{name}/recipes/1"))
+    ctx.responses.append(post(cluster, {"q": 1}, path=f"/services/{name}/recipes/1"))
 
 
 @then("the service's own answer comes back")
 def own_answer(ctx: Context) -> None:
-    assert ctx.got[-1].status == 200
-    assert ctx.got[-1].body["path"] == "/recipes/1"
+    assert ctx.responses[-1].status == 200
+    assert ctx.responses[-1].body["path"] == "/recipes/1"
 
 
 @when("the internal listener of an entry is asked")
@@ -162,15 +162,17 @@
     post(cluster)
     for path in ("/healthz", "/readyz", "/metrics"):
         got = cluster.http.get(cluster.internal("entry-1") + path)
-        ctx.got.append(Got(got.status_code, got.text, got.headers))
+        ctx.responses.append(Response(got.status_code, got.text, got.headers))
 
 
 @then("it answers health, readiness and every metric that the docs name")
 def metrics(ctx: Context) -> None:
-    assert [got.status for got in ctx.got] == [200, 200, 200]
+    assert [got.status for got in ctx.responses] == [200, 200, 200]
     text = (DOCS / "operators" / "metrics.md").read_text()
     named = {w.strip("`") for w in text.replace("|", " ").split() if w.startswith("`ramppost_")}
-    shown = {line.split()[2] for line in ctx.got[-1].body.splitlines() if line.startswith("# TYPE")}
+    shown = {
+        line.split()[2] for line in ctx.responses[-1].body.splitlines() if line.startswith("# TYPE")
+    }
     assert named and named == shown
 
 
@@ -179,10 +181,10 @@
 )
 def together(cluster: Cluster, ctx: Context, n: int, m: int) -> None:
     change_and_note(cluster, 1e12, kind="limits", workspace="toll", concurrency=m)
-    body = GOOD | {"max_tokens": 30}
+    body = VALID_BODY | {"max_tokens": 30}
 
     def ask() -> None:
-        ctx.got.append(post(cluster, body, token="toll-dev"))
+        ctx.responses.append(post(cluster, body, token="toll-dev"))
 
     threads = [threading.Thread(target=ask) for _ in range(n)]
     for thread in threads:
@@ -193,8 +195,8 @@
 
 @then(parsers.parse('some are served and the others refused with "{code}" and when to come back'))
 def some(ctx: Context, code: str) -> None:
-    served = [got for got in ctx.got if got.status == 200]
-    refused = [got for got in ctx.got if got.status != 200]
+    served = [got for got in ctx.responses if got.status == 200]
+    refused = [got for got in ctx.responses if got.status != 200]
     assert served and refused
     for got in refused:
         assert got.body["error"]["code"] == code and int(got.headers["retry-after"]) >= 1
@@ -216,7 +218,7 @@
 @FUZZ
 @given_values(key=st.sampled_from(["model", "messages", "stream", "stream_options"]), value=JSON)
 def test_no_body_crashes_an_entry(fleet: Cluster, key: str, value: Any) -> None:
-    got = post(fleet, GOOD | {key: value})
+    got = post(fleet, VALID_BODY | {key: value})
     assert got.status in (200, 400, 403, 404)
     if got.status != 200:
         assert got.body["error"]["ran"] == "no"
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -17,12 +17,12 @@
 
 scenarios("features/config.feature")
 
-IN_FORCE_S = 8.0
-SEEN_S = 2.0
+MAX_IN_FORCE_S = 8.0
+OBSERVATION_S = 2.0
 
 
 class Watcher:
-    """Load on both entries, and every revision that each process showed, in order."""
+    """Loads both entries and records the revisions of each process in order."""
 
     def __init__(self, cluster: Cluster, model: str) -> None:
         self.cluster = cluster
@@ -35,7 +35,7 @@
         self.plan: dict[str, Any] = {}
         names = [*cluster.fleet.entries, *cluster.fleet.agents]
         jobs = [(self._load, name) for name in cluster.entry_names]
-        jobs += [(self._look, name) for name in names]
+        jobs += [(self._poll_revision, name) for name in names]
         self.threads = [threading.Thread(target=job, args=(name,)) for job, name in jobs]
         for thread in self.threads:
             thread.start()
@@ -46,7 +46,7 @@
                 self.cluster.chat(entry, tokens=3, model=self.model, timeout=5)
             time.sleep(0.03)
 
-    def _look(self, name: str) -> None:
+    def _poll_revision(self, name: str) -> None:
         while self.on:
             rev = revision(self.cluster, name)
             if rev:
@@ -78,8 +78,8 @@
     return act
 
 
-def nothing(cluster: Cluster) -> None:
-    """No fault."""
+def no_fault(cluster: Cluster) -> None:
+    """Injects no fault."""
 
 
 def hang_watches(cluster: Cluster) -> None:
@@ -93,7 +93,7 @@
     cluster.fault("platform", mode="down")
 
 
-def reborn(name: str) -> Callable[[Cluster], None]:
+def restart_in_outage(name: str) -> Callable[[Cluster], None]:
     def act(cluster: Cluster) -> None:
         cluster.kill(name)
         cluster.fault("platform", mode="down")
@@ -110,26 +110,26 @@
 }
 AFTER: dict[str, Callable[[Cluster], None]] = {
     "the platform goes down right after": platform_down,
-    "entry-1 is born in an outage": reborn("entry-1"),
-    "agent-1 is born in an outage": reborn("agent-1"),
+    "entry-1 is born in an outage": restart_in_outage("entry-1"),
+    "agent-1 is born in an outage": restart_in_outage("agent-1"),
 }
 
 
-def intent(cluster: Cluster, entry: str, **wish: Any) -> dict[str, Any]:
-    got = plan_for(cluster, entry, wish)
+def make_plan(cluster: Cluster, entry: str, **intent: Any) -> dict[str, Any]:
+    got = plan_for(cluster, entry, intent)
     assert got.status_code == 200, got.text
     plan: dict[str, Any] = got.json()
     return plan
 
 
-def carry_out(cluster: Cluster, watcher: Watcher, fault: str, **wish: Any) -> None:
-    BEFORE.get(fault, nothing)(cluster)
-    plan = intent(cluster, "entry-2", **wish)
+def carry_out(cluster: Cluster, watcher: Watcher, fault: str, **intent: Any) -> None:
+    BEFORE.get(fault, no_fault)(cluster)
+    plan = make_plan(cluster, "entry-2", **intent)
     got = confirm(cluster, "entry-2", plan["plan_id"])
     watcher.accepted_at = time.time()
     assert got.status_code == 200, got.text
     watcher.wanted = got.json()["revision"]
-    AFTER.get(fault, nothing)(cluster)
+    AFTER.get(fault, no_fault)(cluster)
 
 
 @when(parsers.parse('"{name}" is withdrawn while "{fault}"'))
@@ -146,12 +146,12 @@
 
 @then("within 8 seconds no upstream begins a request on it")
 def none_begun(cluster: Cluster, watcher: Watcher) -> None:
-    wait_revision(cluster, watcher.wanted, IN_FORCE_S)
-    time.sleep(SEEN_S)
+    wait_revision(cluster, watcher.wanted, MAX_IN_FORCE_S)
+    time.sleep(OBSERVATION_S)
     begun = [line["at"] for line in runs(cluster) if line["model"] == watcher.model]
     last = max(begun) - watcher.accepted_at
-    print(f"last begun {last:.2f} s after it was accepted")
-    assert begun and last < IN_FORCE_S
+    print(f"last run began {last:.2f} s after the change was accepted")
+    assert begun and last < MAX_IN_FORCE_S
 
 
 @then("every process that runs has the new revision")
@@ -168,8 +168,8 @@
 @then(parsers.parse('its requests are refused with "{code}" and ran "{ran}"'))
 def refused(cluster: Cluster, watcher: Watcher, code: str, ran: str) -> None:
     for name in cluster.entry_names:
-        word = told("", cluster.chat(name, model=watcher.model))
-        assert (word.code, word.ran) == (code, ran)
+        reply = told("", cluster.chat(name, model=watcher.model))
+        assert (reply.code, reply.ran) == (code, ran)
 
 
 @when("the platform is put back to an older document")
@@ -178,7 +178,7 @@
     old = cluster.fleet.doc | {"revision": 1, "plan_id": "older"}
     head = {"if-match": str(held["version"])}
     cluster.http.put(f"{cluster.platform}/objects/config/current", json=old, headers=head)
-    time.sleep(SEEN_S)
+    time.sleep(OBSERVATION_S)
     again = cluster.http.get(f"{cluster.platform}/objects/config/current").json()
     head = {"if-match": str(again["version"])}
     cluster.http.put(f"{cluster.platform}/objects/config/current", json=held["value"], headers=head)
@@ -187,8 +187,8 @@
 @when("two operators confirm plans for the same revision at both entries")
 def race(cluster: Cluster, watcher: Watcher) -> None:
     plans = [
-        intent(cluster, "entry-1", kind="limits", workspace="mesob", concurrency=150),
-        intent(cluster, "entry-2", kind="limits", workspace="mesob", concurrency=160),
+        make_plan(cluster, "entry-1", kind="limits", workspace="mesob", concurrency=150),
+        make_plan(cluster, "entry-2", kind="limits", workspace="mesob", concurrency=160),
     ]
     threads = [
         threading.Thread(
@@ -212,7 +212,7 @@
 
 @when("the platform loses its replies while a plan is confirmed")
 def lost_confirm(cluster: Cluster, watcher: Watcher) -> None:
-    plan = intent(cluster, "entry-1", kind="limits", workspace="mesob", concurrency=170)
+    plan = make_plan(cluster, "entry-1", kind="limits", workspace="mesob", concurrency=170)
     watcher.plan = plan
     watcher.wanted = plan["revision"] + 1
     cluster.fault("platform", mode="lost_reply", path="/objects/config", method="PUT")
--- a/tests/test_dev.py
+++ b/tests/test_dev.py
@@ -1,4 +1,4 @@
-"""`ramppost dev` and the command line, as a newcomer uses them; TLS; the example by hand."""
+"""`ramppost dev`, the operator commands against it, and TLS towards callers."""
 
 from __future__ import annotations
 
@@ -30,33 +30,33 @@
 from tests.harness.cluster import Cluster, free_base
 from tests.harness.oracle import whole
 
-UP_S = 20.0
-TURNS_S = 40.0
+START_TIMEOUT_S = 20.0
+STATUS_TIMEOUT_S = 40.0
 
 
 @functools.cache
-def base() -> int:
-    """Ports that are free when the first test starts.
+def base_port() -> int:
+    """Returns the first port of a block that is free when the first test starts.
 
-    Two runs of this file at once, on the usual ports, failed three tests: one spoke to the other's
-    process.
+    Two concurrent runs of this file on the default ports failed three tests, as one run called the
+    other's process.
     """
     return free_base()
 
 
 def entry() -> str:
-    """The address of the running entry."""
-    return f"127.0.0.1:{base() + ENTRY_PORTS}"
+    """Returns the address of the running entry."""
+    return f"127.0.0.1:{base_port() + ENTRY_PORTS}"
 
 
 @pytest.fixture(scope="module")
 def banner(tmp_path_factory: pytest.TempPathFactory) -> Iterator[str]:
-    """A running `ramppost dev` and what it printed."""
+    """Starts `ramppost dev` and returns its output."""
     out = tmp_path_factory.mktemp("dev") / "out.txt"
-    command = [sys.executable, "-m", "ramppost", "dev", "--port", str(base() + ENTRY_PORTS)]
+    command = [sys.executable, "-m", "ramppost", "dev", "--port", str(base_port() + ENTRY_PORTS)]
     with open(out, "wb") as log:
         proc = subprocess.Popen(command, stdout=log, stderr=log)
-    deadline = clock.now() + UP_S
+    deadline = clock.now() + START_TIMEOUT_S
     while "Stop with Ctrl-C" not in out.read_text():
         assert proc.poll() is None and clock.now() < deadline, out.read_text()
         time.sleep(0.1)
@@ -66,23 +66,23 @@
 
 
 def cli(*args: str, token: str = OPERATOR_TOKEN) -> subprocess.CompletedProcess[str]:
-    """Run a command of an operator."""
+    """Runs an operator command."""
     command = [sys.executable, "-m", "ramppost", *args, "--entry", entry()]
     env = {**os.environ, "RAMPPOST_TOKEN": token}
     return subprocess.run(command, capture_output=True, text=True, timeout=60, env=env, check=False)
 
 
-def carried_out(*wish: str) -> dict[str, Any]:
-    """Plan and confirm a wish; the plan."""
-    plan: dict[str, Any] = json.loads(cli("plan", *wish, "--json").stdout)
+def plan_and_confirm(*intent: str) -> dict[str, Any]:
+    """Plans and confirms an intent; returns the plan."""
+    plan: dict[str, Any] = json.loads(cli("plan", *intent, "--json").stdout)
     done = cli("confirm", plan["plan_id"], "--wait")
     assert done.returncode == 0 and "in force everywhere" in done.stdout, done
     return plan
 
 
-def wait_for(text: str) -> str:
-    """Ask for the status, under a little load, until it shows a text."""
-    deadline = clock.now() + TURNS_S
+def wait_for_status(text: str) -> str:
+    """Polls the status under light load until it shows a text."""
+    deadline = clock.now() + STATUS_TIMEOUT_S
     head = {"authorization": "Bearer mesob-dev"}
     body = {"model": "large", "max_tokens": 3, "messages": [{"role": "user", "content": "x"}]}
     with httpx.Client(headers=head) as http:
@@ -106,7 +106,7 @@
     assert streamed.stdout.rstrip().endswith("data: [DONE]")
 
 
-def test_what_is_no_port_is_named() -> None:
+def test_an_invalid_port_is_reported() -> None:
     for port in ("80", "65535", "x", "-1"):
         command = [sys.executable, "-m", "ramppost", "dev", f"--port={port}"]
         got = subprocess.run(command, capture_output=True, text=True, timeout=20, check=False)
@@ -118,12 +118,12 @@
     shown = cli("plan", "limits", "--workspace", "toll", "--concurrency", "9")
     assert shown.returncode == 0 and "nothing has changed" in shown.stdout
     assert json.loads(cli("status", "--json").stdout)["revision"] == before
-    carried_out("limits", "--workspace", "toll", "--concurrency", "9")
+    plan_and_confirm("limits", "--workspace", "toll", "--concurrency", "9")
     assert json.loads(cli("status", "--json").stdout)["revision"] == before + 1
     assert "dev" in cli("history").stdout
 
 
-def test_bad_wishes_and_missing_roles_are_refused(banner: str) -> None:
+def test_bad_intents_and_missing_roles_are_refused(banner: str) -> None:
     assert "bad_intent" in cli("plan", "rollout", "--model", "none@v1").stderr
     assert "bad_intent" in cli("plan", "rollout", "--model", "large@v2", "--steps", "0.5").stderr
     assert "forbidden" in cli("plan", "rollout", "--model", "large@v2", token=READER_TOKEN).stderr
@@ -132,25 +132,25 @@
 
 
 def fault_engines(fault: dict[str, Any]) -> None:
-    """Put a fault in force at all engines."""
+    """Injects a fault into all engines."""
     for number in range(DEV.engines):
-        url = f"http://127.0.0.1:{base() + UPSTREAM_PORTS + number}/_fault"
+        url = f"http://127.0.0.1:{base_port() + UPSTREAM_PORTS + number}/_fault"
         assert httpx.post(url, json=fault).status_code == 200
 
 
-def test_a_roll_out_that_turns_bad_is_withdrawn_by_itself(banner: str) -> None:
+def test_a_failing_roll_out_is_withdrawn_automatically(banner: str) -> None:
     fault_engines({"mode": "errors", "share": 0.7, "model": "large", "version": "v2"})
-    wish = ("--steps", "0.5,1", "--step-s", "60", "--min-requests", "5")
-    carried_out("rollout", "--model", "large@v2", *wish)
-    shown = wait_for("withdrawn")
+    intent = ("--steps", "0.5,1", "--step-s", "60", "--min-requests", "5")
+    plan_and_confirm("rollout", "--model", "large@v2", *intent)
+    shown = wait_for_status("withdrawn")
     assert "requests failed" in shown
     fault_engines({"mode": "none"})
 
 
-def test_a_version_that_was_mended_goes_to_its_end(banner: str) -> None:
-    wish = ("--steps", "0.5,1", "--step-s", "0.5", "--min-requests", "3")
-    carried_out("rollout", "--model", "large@v2", *wish)
-    wait_for("step 2/2 (100%) done")
+def test_a_fixed_version_is_rolled_out_completely(banner: str) -> None:
+    intent = ("--steps", "0.5,1", "--step-s", "0.5", "--min-requests", "3")
+    plan_and_confirm("rollout", "--model", "large@v2", *intent)
+    wait_for_status("step 2/2 (100%) done")
     head = {"authorization": "Bearer mesob-dev"}
     body = {"model": "large", "messages": [{"role": "user", "content": "x"}]}
     got = httpx.post(f"http://{entry()}/v1/chat/completions", json=body, headers=head)
@@ -166,7 +166,7 @@
 
 
 def certificate(folder: Path, name: str, ip: str) -> tuple[Path, Path]:
-    """A certificate for an address and its key."""
+    """Creates a certificate for an address, and its key."""
     cert, key = folder / f"{name}.pem", folder / f"{name}.key"
     ext = f"subjectAltName=IP:{ip}"
     command = ["openssl", "req", "-x509", "-newkey", "rsa:2048", "-nodes", "-days", "2"]
@@ -201,11 +201,11 @@
 
 
 def _models(cluster: Cluster, cert: Path) -> int:
-    """Status of a TLS request that trusts just this certificate."""
+    """Returns the status of a TLS request that trusts only this certificate."""
     url = cluster.url("entry-2").replace("http:", "https:") + "/v1/models"
     head = {"authorization": "Bearer mesob-dev"}
     ctx = ssl.create_default_context(cafile=str(cert))
-    deadline = clock.now() + UP_S
+    deadline = clock.now() + START_TIMEOUT_S
     while True:
         assert clock.now() < deadline
         with contextlib.suppress(httpx.HTTPError):
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""What the docs, examples and generated code say is what the code does."""
+"""Documentation, examples and generated code agree with the code."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(PAGES))
-def test_reference_pages_are_those_of_the_code(name: str) -> None:
+def test_reference_pages_match_the_code(name: str) -> None:
     assert (OPERATORS / name).read_text() == PAGES[name](), "run `make docs`"
 
 
@@ -29,14 +29,14 @@
 
 
 @pytest.mark.parametrize(("name", "plan"), [("mesob", MESOB), ("toll", TOLL)])
-def test_examples_are_those_of_the_code(name: str, plan, tmp_path: Path) -> None:
+def test_examples_match_the_code(name: str, plan, tmp_path: Path) -> None:
     titles = {"mesob": "Mesob Kitchen Commons", "toll": "the Toll Network"}
     write_fleet(tmp_path / name, build(plan), titles[name])
     for path in (tmp_path / name).iterdir():
         assert path.read_text() == (ROOT / "examples" / name / path.name).read_text(), path.name
 
 
-def test_generated_types_are_those_of_the_schemas(tmp_path: Path) -> None:
+def test_generated_types_match_the_schemas(tmp_path: Path) -> None:
     tools = str(ROOT / ".venv" / "bin")
     if shutil.which("datamodel-codegen", path=tools) is None:
         pytest.skip("the generator is not installed")
@@ -46,7 +46,7 @@
         assert path.read_text() == (ROOT / "ramppost" / "schema" / path.name).read_text()
 
 
-def test_every_link_in_the_docs_leads_somewhere() -> None:
+def test_every_link_in_the_docs_has_a_target() -> None:
     for path in [*DOCS.rglob("*.md"), ROOT / "README.md"]:
         for target in re.findall(r"\]\(([^)#]+)\)", path.read_text()):
             assert (path.parent / target).exists(), f"{path}: {target}"
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -24,12 +24,12 @@
 
 TRIAL = {"model": "large", "version": "v2"}
 TRIAL_NAME = "large@v2"
-STABLE, FRESH = ModelVersion("large", "v1"), ModelVersion("large", "v2")
+STABLE_VERSION, TRIAL_VERSION = ModelVersion("large", "v1"), ModelVersion("large", "v2")
 DUE_CASES: list[tuple[str, str, set[ModelVersion], list[LoadOrder]]] = [
-    ("running, not loaded", "running", {STABLE}, [LoadOrder(1, FRESH)]),
-    ("running, loaded", "running", {STABLE, FRESH}, []),
+    ("running, not loaded", "running", {STABLE_VERSION}, [LoadOrder(1, TRIAL_VERSION)]),
+    ("running, loaded", "running", {STABLE_VERSION, TRIAL_VERSION}, []),
     ("running, of a model that is not served", "running", {ModelVersion("small", "v1")}, []),
-    ("withdrawn", "withdrawn", {STABLE}, []),
+    ("withdrawn", "withdrawn", {STABLE_VERSION}, []),
 ]
 
 
@@ -49,7 +49,7 @@
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Cluster]:
-    """A small fleet whose engines load the trial's version by order only."""
+    """Starts a small fleet whose engines load the trial version only when ordered to."""
     models = [m | {"loaded": m["version"] != TRIAL["version"]} for m in ENGINE_MODELS]
     plan = SMALL_FLEET._replace(engine_models=models)
     ablate = os.environ.get("RAMPPOST_ABLATE", "")
@@ -63,26 +63,26 @@
 
 @given(parsers.parse('a small fleet whose engines have not loaded "{version}"'))
 def not_loaded(cluster: Cluster) -> None:
-    """Engines start anew, without it."""
+    """Restarts the engines, so that the version is not loaded."""
     reset(cluster)
     for name in cluster.fleet.engines:
         cluster.kill(name)
         cluster.spawn(name)
     cluster.heal()
     deadline = clock.now() + 10
-    while any(TRIAL_NAME in line["versions"] for line in agents(cluster)):
+    while any(TRIAL_NAME in line["versions"] for line in agent_statuses(cluster)):
         assert clock.now() < deadline
         time.sleep(0.1)
 
 
-def agents(cluster: Cluster) -> list[dict[str, Any]]:
-    """What the agents of engines say of themselves."""
+def agent_statuses(cluster: Cluster) -> list[dict[str, Any]]:
+    """Returns the status of each engine's agent."""
     names = [n.replace("engine", "agent") for n in cluster.fleet.engines]
     return [cluster.agent_status(name) for name in names]
 
 
 def orders(cluster: Cluster, engine: str) -> list[dict[str, Any]]:
-    """Orders that an engine was given."""
+    """Returns the orders that an engine received."""
     return list(cluster.http.get(cluster.internal(engine) + "/_orders").json())
 
 
@@ -114,7 +114,7 @@
 )
 def loaded(cluster: Cluster, revision: int, seconds: int) -> None:
     deadline = clock.now() + seconds
-    while not all(TRIAL_NAME in line["versions"] for line in agents(cluster)):
+    while not all(TRIAL_NAME in line["versions"] for line in agent_statuses(cluster)):
         assert clock.now() < deadline
         time.sleep(0.1)
     for engine in cluster.fleet.engines:
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' platform: documents and headers, in tables."""
+"""The adapter to the users' platform: table-driven tests of documents and headers."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from ramppost.wire.codec import BadMessage
 
 ROOT = Path(__file__).parents[1]
-UP = Upstream("i-1", "10.0.0.1:80", "lm", "bole", "v1", 64, False)
+UPSTREAM = Upstream("i-1", "10.0.0.1:80", "lm", "bole", "v1", 64, False)
 
 
 def route(**changes: Any) -> dict[str, Any]:
-    usual = {
+    defaults = {
         "name": "r",
         "host": "h.example",
         "path_prefix": "/a/",
@@ -36,7 +36,7 @@
         "service": "lm",
         "stream_resume": True,
     }
-    return usual | changes
+    return defaults | changes
 
 
 def config(routes: list[dict[str, Any]], **more: Any) -> StoredObject:
@@ -99,7 +99,7 @@
     assert table.keys == {"k": Workspace("w", 1)}
 
 
-def test_without_workspaces_no_key_is_asked_for() -> None:
+def test_without_workspaces_no_key_is_required() -> None:
     table = routing_table(config([]))
     assert not isinstance(table, BadMessage)
     assert table.keys is None
@@ -131,7 +131,7 @@
         "cold_left_ms": 0,
         "call_seq": 4,
     }
-    assert upstream(StoredObject("i-1", 1, spec, None)) == UP._replace(draining=leaving)
+    assert upstream(StoredObject("i-1", 1, spec, None)) == UPSTREAM._replace(draining=leaving)
 
 
 @pytest.mark.parametrize(
@@ -153,12 +153,12 @@
 
 
 @pytest.mark.parametrize("state", ["completed", "rolled_back"])
-def test_what_became_of_the_order_before_is_not_taken_for_the_state_of_the_next(state: str) -> None:
-    """A second order for a service is written over the first, whose status stays beside it.
+def test_the_status_of_the_previous_order_is_not_used_for_the_next(state: str) -> None:
+    """A second order for a service overwrites the first, but the status of the first remains.
 
-    A gateway took `completed` of v2 for the state of v3 and gave that version, which was bad,
-    1,333 of the 1,375 requests of its service at once.  What settled it were the lines `roll-out
-    completed` with `version` v3 of all gateways within 3 ms of the order, and none before them.
+    A gateway took `completed` of v2 for the state of v3 and at once sent that version, which was
+    bad, 1,333 of the 1,375 requests of its service.  The log lines `roll-out completed` with
+    `version` v3 of all gateways within 3 ms of the order, and none before them, showed the cause.
     """
     spec = {"service": "lm", "target_version": "v3", "duration_s": 12}
     status = {"state": state, "target_version": "v2"}
@@ -191,7 +191,7 @@
 
 def test_what_only_the_router_may_set_is_dropped() -> None:
     req = caller_request("POST", "/a/2f?x=%20", HEAD, b"body")
-    head = upstream_head(req, SendOptions(UP, 1.25, Workspace("w", 0), 2, "m1", ""), True)
+    head = upstream_head(req, SendOptions(UPSTREAM, 1.25, Workspace("w", 0), 2, "m1", ""), True)
     assert b"forged" not in [value for _, value in head]
     assert b"secret" not in [value for _, value in head]
     found = dict(head)
@@ -205,16 +205,16 @@
     assert b"x-hop" not in found and b"transfer-encoding" not in found
 
 
-def test_the_callers_model_stands_where_none_is_chosen() -> None:
+def test_the_callers_model_is_kept_if_none_is_chosen() -> None:
     req = caller_request("POST", "/a/", ((b"x-model", b"m7"),), b"")
-    head = dict(upstream_head(req, SendOptions(UP, 1.0, None, None, "", ""), False))
+    head = dict(upstream_head(req, SendOptions(UPSTREAM, 1.0, None, None, "", ""), False))
     assert head[names.MODEL] == b"m7"
     assert names.WORKSPACE not in head and names.PRIORITY not in head
 
 
 def test_a_resumed_stream_names_the_last_event_passed_on() -> None:
     req = caller_request("POST", "/a/", ((b"last-event-id", b"3"),), b"")
-    head = upstream_head(req, SendOptions(UP, 1.0, None, None, "", "12"), False)
+    head = upstream_head(req, SendOptions(UPSTREAM, 1.0, None, None, "", "12"), False)
     assert [value for name, value in head if name == names.LAST_EVENT_ID] == [b"12"]
 
 
@@ -256,11 +256,11 @@
 
 
 def test_no_wire_name_outside_the_adapter() -> None:
-    """The platform's spellings stand in one folder; stand-ins of it take them from there."""
+    """Wire names of the platform occur in one package only, from which stand-ins import them."""
     own = re.compile(r"x-attempt-id|x-runner|x-tenant|x-kv|x-expect|api-key|target_version", re.I)
-    own_words = re.compile(r"\"(draining|rolled_back_at|allow_anonymous|traffic_split|api_keys)\"")
+    own_fields = re.compile(r"\"(draining|rolled_back_at|allow_anonymous|traffic_split|api_keys)\"")
     for path in (ROOT / "ramppost").rglob("*.py"):
         if path.parent.name == "platform":
             continue
         text = path.read_text()
-        assert not own.search(text) and not own_words.search(text), path
+        assert not own.search(text) and not own_fields.search(text), path
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs under guards, over real processes."""
+"""Roll-outs and their guards, with real processes."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 TOKENS = 5
 CALLERS = 6
 WARM_REQUESTS = 40
-MORE = 20
+MORE_REQUESTS = 20
 
 
 class Traffic:
-    """New sessions through both entries until stopped."""
+    """Starts new sessions through both entries until stopped."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
@@ -52,7 +52,7 @@
                 time.sleep(0.1)
 
     def wait(self, count: int) -> None:
-        """Until so many more were answered."""
+        """Waits until this many more requests are answered."""
         wanted = len(self.statuses) + count
         deadline = clock.now() + 30
         while len(self.statuses) < wanted:
@@ -65,19 +65,19 @@
             thread.join()
 
 
-def on_trial(cluster: Cluster) -> list[dict[str, Any]]:
-    """Runs of the trial."""
+def trial_runs(cluster: Cluster) -> list[dict[str, Any]]:
+    """Returns the runs of the trial version."""
     return [line for line in runs(cluster) if line["version"] == TRIAL["version"]]
 
 
 def last_rollout(cluster: Cluster) -> dict[str, Any]:
-    """The last roll-out in the configuration in force at an entry."""
+    """Returns the last roll-out in the configuration in force at entry-1."""
     found = document(cluster, "entry-1")["rollouts"]
     return found[-1] if found else {"state": "none"}
 
 
-def ended(cluster: Cluster, state: str, seconds: float) -> dict[str, Any]:
-    """The last roll-out, once it has a state."""
+def wait_for_state(cluster: Cluster, state: str, seconds: float) -> dict[str, Any]:
+    """Waits until the last roll-out has a state and returns it."""
     deadline = clock.now() + seconds
     while (found := last_rollout(cluster))["state"] != state:
         assert clock.now() < deadline, (found["state"], found.get("note"))
@@ -97,31 +97,31 @@
 
 @pytest.fixture
 def before(cluster: Cluster) -> int:
-    """How many runs of the trial's version there were before the scenario."""
-    return len(on_trial(cluster))
+    """Returns the number of runs of the trial version before the scenario."""
+    return len(trial_runs(cluster))
 
 
 @when(parsers.parse('"large@v2" is rolled out and "{fault}"'))
 def rolled_out_bad(cluster: Cluster, before: int, fault: str) -> None:
     for engine in cluster.fleet.engines:
         cluster.fault(engine, **TRIAL, **FAULTS[fault])
-    wish = {"steps": [0.3, 1.0], "step_s": 60, "min_requests": 1000}
-    carried_out(cluster, "entry-1", kind="rollout", **TRIAL, **wish)
+    intent = {"steps": [0.3, 1.0], "step_s": 60, "min_requests": 1000}
+    carried_out(cluster, "entry-1", kind="rollout", **TRIAL, **intent)
 
 
 @then(
     parsers.parse('it is withdrawn by itself within {seconds:d} seconds because of its "{guard}"')
 )
 def withdrawn(cluster: Cluster, seconds: int, guard: str) -> None:
-    assert guard in ended(cluster, "withdrawn", seconds)["note"]
+    assert guard in wait_for_state(cluster, "withdrawn", seconds)["note"]
 
 
 @then(parsers.parse("at most {n:d} requests reached it, and nothing new does"))
-def few(cluster: Cluster, traffic: Traffic, before: int, n: int) -> None:
-    traffic.wait(MORE)
-    reached = len(on_trial(cluster))
-    traffic.wait(MORE)
-    assert len(on_trial(cluster)) == reached
+def exposure_is_bounded(cluster: Cluster, traffic: Traffic, before: int, n: int) -> None:
+    traffic.wait(MORE_REQUESTS)
+    reached = len(trial_runs(cluster))
+    traffic.wait(MORE_REQUESTS)
+    assert len(trial_runs(cluster)) == reached
     assert 0 < reached - before <= n
 
 
@@ -131,8 +131,8 @@
 )
 def rolled_out_capped(cluster: Cluster, traffic: Traffic, before: int, n: int) -> Traffic:
     traffic.stop()
-    wish = {"steps": [1.0], "step_s": 600, "max_exposed": n}
-    carried_out(cluster, "entry-1", kind="rollout", **TRIAL, **wish)
+    intent = {"steps": [1.0], "step_s": 600, "max_exposed": n}
+    carried_out(cluster, "entry-1", kind="rollout", **TRIAL, **intent)
     return traffic
 
 
@@ -144,14 +144,14 @@
 def capped(cluster: Cluster, before: int, count: int, n: int) -> None:
     got = [cluster.chat(cluster.entry_names[i % 2], tokens=2) for i in range(count)]
     assert {answer.status_code for answer in got} == {200}
-    assert 0 < len(on_trial(cluster)) - before <= n
+    assert 0 < len(trial_runs(cluster)) - before <= n
 
 
 @when('"large@v2" is rolled out and all entries are killed and started again')
 def interrupted(cluster: Cluster, traffic: Traffic) -> None:
-    wish = {"steps": [0.5, 1.0], "step_s": 3, "min_requests": 5}
-    carried_out(cluster, "entry-1", kind="rollout", **TRIAL, **wish)
-    traffic.wait(MORE)
+    intent = {"steps": [0.5, 1.0], "step_s": 3, "min_requests": 5}
+    carried_out(cluster, "entry-1", kind="rollout", **TRIAL, **intent)
+    traffic.wait(MORE_REQUESTS)
     for name in cluster.entry_names:
         cluster.kill(name)
     for name in cluster.entry_names:
@@ -161,4 +161,4 @@
 
 @then("the roll-out goes on to its end")
 def goes_on(cluster: Cluster) -> None:
-    ended(cluster, "done", 40)
+    wait_for_state(cluster, "done", 40)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions keep their version."""
+"""Sessions stay on the model version that they started with."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 from tests.harness.cluster import Cluster
 from tests.harness.operator import confirm
 from tests.harness.oracle import Told, told, wait_runs_over
-from tests.test_config import intent, reset, revision, wait_revision
+from tests.test_config import make_plan, reset, revision, wait_revision
 
 scenarios("features/sessions.feature")
 
 
-class Held:
-    """A session, and what its last request was told."""
+class HeldSession:
+    """A session and the reply to its last request."""
 
     def __init__(self, token: str) -> None:
         self.token = token
-        self.told: Told | None = None
+        self.reply: Told | None = None
 
 
 @given(parsers.parse('a small fleet with a session on "{name}"'), target_fixture="held")
-def session(cluster: Cluster, name: str) -> Iterator[Held]:
+def session(cluster: Cluster, name: str) -> Iterator[HeldSession]:
     reset(cluster)
     got = cluster.chat("entry-1", model=name)
     assert got.status_code == 200
-    yield Held(got.headers["ramppost-session"])
+    yield HeldSession(got.headers["ramppost-session"])
     reset(cluster)
 
 
-def change(cluster: Cluster, **wish: Any) -> None:
-    plan = intent(cluster, "entry-1", **wish)
+def change(cluster: Cluster, **intent: Any) -> None:
+    plan = make_plan(cluster, "entry-1", **intent)
     got = confirm(cluster, "entry-1", plan["plan_id"])
     assert got.status_code == 200, got.text
     assert wait_revision(cluster, got.json()["revision"]) == []
 
 
 def roll_out(cluster: Cluster) -> None:
-    wish = {"steps": [0.5, 1.0], "step_s": 0.3, "min_requests": 0}
-    change(cluster, kind="rollout", model="large", version="v2", **wish)
+    intent = {"steps": [0.5, 1.0], "step_s": 0.3, "min_requests": 0}
+    change(cluster, kind="rollout", model="large", version="v2", **intent)
     deadline = clock.now() + 20
     while cluster.chat("entry-1").headers.get("ramppost-model") != "large@v2":
         assert clock.now() < deadline
@@ -74,12 +74,12 @@
 
 
 @when(parsers.parse('"{name}" happens'))
-def happens(cluster: Cluster, held: Held, name: str) -> None:
+def happens(cluster: Cluster, held: HeldSession, name: str) -> None:
     CHANGES[name](cluster)
 
 
 @then(parsers.parse('{n:d} further requests of the session at both entries run on "{name}"'))
-def keep(cluster: Cluster, held: Held, n: int, name: str) -> None:
+def keep(cluster: Cluster, held: HeldSession, n: int, name: str) -> None:
     for number in range(n):
         entry = cluster.entry_names[number % 2]
         got = cluster.chat(entry, tokens=2, ramppost_session=held.token)
@@ -103,7 +103,7 @@
     return cluster.chat("entry-2", token="toll-dev").headers["ramppost-session"]
 
 
-BAD: dict[str, Callable[[Cluster, str], str]] = {
+BAD_TOKENS: dict[str, Callable[[Cluster, str], str]] = {
     "forged": lambda cluster, token: token[:-2] + ("AA" if token[-2:] != "AA" else "BB"),
     "cut short": lambda cluster, token: token[: len(token) // 2],
     "of another workspace": foreign,
@@ -114,13 +114,13 @@
 
 
 @when(parsers.parse('a request brings a token that is "{kind}"'))
-def brings(cluster: Cluster, held: Held, kind: str) -> None:
-    token = BAD[kind](cluster, held.token)
+def brings(cluster: Cluster, held: HeldSession, kind: str) -> None:
+    token = BAD_TOKENS[kind](cluster, held.token)
     model = "small" if kind == "for another model" else "large"
-    held.told = told("", cluster.chat("entry-2", model=model, ramppost_session=token))
+    held.reply = told("", cluster.chat("entry-2", model=model, ramppost_session=token))
 
 
 @then(parsers.parse('it is refused with "{code}" and ran "{ran}"'))
-def refused(held: Held, code: str, ran: str) -> None:
-    assert held.told is not None
-    assert (held.told.code, held.told.ran) == (code, ran)
+def refused(held: HeldSession, code: str, ran: str) -> None:
+    assert held.reply is not None
+    assert (held.reply.code, held.reply.ran) == (code, ran)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -23,8 +23,8 @@
 EXAMPLES = Path(__file__).parents[1] / "examples"
 
 
-class Checked:
-    """A settings file and what a command said of it."""
+class SettingsCheck:
+    """A settings file and the exit code and error lines of a command that read it."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -37,8 +37,8 @@
         self.code, self.lines = done.returncode, done.stderr.strip().splitlines()
 
 
-def changed(change: str) -> str:
-    """An entry's settings with a change, as text."""
+def settings_with_change(change: str) -> str:
+    """Returns the settings of an entry with a change, as text."""
     cfg: dict[str, Any] = copy.deepcopy(dict(build(MESOB).entries["entry-1"]))
     if change == "not JSON":
         return "{ // a comment\n  program: "
@@ -47,47 +47,47 @@
         return json.dumps(cfg)
     name, _, value = change.removeprefix("unknown key ").partition(" = ")
     *parents, last = json.loads(name).split(".")
-    holder = cfg
+    parent = cfg
     for part in parents:
-        holder = holder[part]
-    holder[last] = json.loads(value)
+        parent = parent[part]
+    parent[last] = json.loads(value)
     return json.dumps(cfg)
 
 
 @given_step(parsers.parse("the settings of an entry with {change}"), target_fixture="checked")
-def faulty(tmp_path: Path, change: str) -> Checked:
+def faulty(tmp_path: Path, change: str) -> SettingsCheck:
     path = tmp_path / "entry.json"
-    path.write_text(changed(change))
-    return Checked(path)
+    path.write_text(settings_with_change(change))
+    return SettingsCheck(path)
 
 
 @when("they are checked")
-def check(checked: Checked) -> None:
+def check(checked: SettingsCheck) -> None:
     checked.run("check-config", str(checked.path))
 
 
 @when("the entry is started with them")
-def start(checked: Checked) -> None:
+def start(checked: SettingsCheck) -> None:
     checked.run("entry", "--settings", str(checked.path))
 
 
 @then(parsers.parse("the exit code is {code:d}"))
-def exit_code(checked: Checked, code: int) -> None:
+def exit_code(checked: SettingsCheck, code: int) -> None:
     assert checked.code == code
 
 
 @then(parsers.parse('one line names the file, "{path}" and "{mend}"'))
-def one_line(checked: Checked, path: str, mend: str) -> None:
+def one_line(checked: SettingsCheck, path: str, mend: str) -> None:
     named = [x for x in checked.lines if str(checked.path) in x and path in x and mend in x]
     assert len(named) == 1 and len(checked.lines) == 1, checked.lines
 
 
 @pytest.mark.parametrize("path", sorted(EXAMPLES.glob("*/*.json")), ids=lambda p: str(p.name))
-def test_every_example_is_good(path: Path) -> None:
+def test_every_example_is_valid(path: Path) -> None:
     assert check_file(path) == []
 
 
-def test_names_that_lead_nowhere_are_found() -> None:
+def test_dangling_names_are_reported() -> None:
     doc: Any = build(MESOB).doc
     doc["policies"][0]["models"] = ["huge"]
     doc["workspaces"][0]["policies"] = [{"policy": "none", "share": 1}]
@@ -108,9 +108,9 @@
 KEYS = st.sampled_from([*build(MESOB).entries["entry-1"], "other"])
 
 
-def test_documents_of_a_plan_are_their_own() -> None:
-    """Whoever changes one changes no later one: tests that ran in another order than by name
-    found the examples of the docs changed by the test above."""
+def test_documents_of_a_plan_are_independent() -> None:
+    """Changing a built document must not affect later ones: when tests ran in another order than by
+    name, the documentation's examples had been settings_with_change by the test above."""
     doc = build(MESOB).doc
     doc["classes"].append(doc["classes"][0])
     assert len(build(MESOB).doc["classes"]) == len(doc["classes"]) - 1
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -1,4 +1,4 @@
-"""Planned stops and leaving upstreams."""
+"""Planned stops of processes, and upstreams that leave."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 scenarios("features/stop.feature")
 
 STREAM_TOKENS = 200
-LEAVING_S = 5.0
-WATCHED_S = 3.0
+LEAVE_TIMEOUT_S = 5.0
+OBSERVATION_S = 3.0
 
 
 class Streams:
-    """Long answers under way through both entries."""
+    """Reads long streamed answers through both entries."""
 
     def __init__(self, cluster: Cluster, count: int) -> None:
         self.cluster = cluster
-        self.told: list[Told] = []
+        self.replies: list[Told] = []
         self.code: int | None = None
         self.threads = [
             threading.Thread(target=self._read, args=(cluster.entry_names[i % 2], f"question {i}"))
@@ -41,7 +41,7 @@
 
     def _read(self, entry: str, content: str) -> None:
         got = self.cluster.chat(entry, tokens=STREAM_TOKENS, stream=True, content=content)
-        self.told.append(told_stream("", got))
+        self.replies.append(told_stream("", got))
 
 
 @given(parsers.parse("a small fleet with {n:d} long streams under way"), target_fixture="streams")
@@ -65,14 +65,14 @@
 
 @then(parsers.parse("all {n:d} streams are whole"))
 def all_whole(streams: Streams, n: int) -> None:
-    assert len(streams.told) == n
-    for word in streams.told:
-        assert word.served and whole(word.text, STREAM_TOKENS), word
+    assert len(streams.replies) == n
+    for reply in streams.replies:
+        assert reply.served and whole(reply.text, STREAM_TOKENS), reply
 
 
 @then(parsers.parse("all {n:d} requests are billed"))
 def all_billed(cluster: Cluster, streams: Streams, n: int) -> None:
-    ids = {word.request_id for word in streams.told}
+    ids = {reply.request_id for reply in streams.replies}
     bills = wait_bills(cluster, ids)
     assert len(ids) == n and all(charged(bills, i) == 1 for i in ids)
 
@@ -99,12 +99,12 @@
 @then("after 5 seconds its engine begins nothing new")
 def nothing_new(cluster: Cluster, load: Load) -> None:
     left = time.time()
-    time.sleep(LEAVING_S + WATCHED_S)
+    time.sleep(LEAVE_TIMEOUT_S + OBSERVATION_S)
     log = cluster.http.get(cluster.internal("engine-1") + "/_log").json()
     cluster.http.post(
         cluster.internal("platform") + "/_boxes", json=cluster.fleet.platform["boxes"]
     )
-    assert log and max(line["at"] for line in log) < left + LEAVING_S
+    assert log and max(line["at"] for line in log) < left + LEAVE_TIMEOUT_S
 
 
 @when("every entry and agent is restarted by planned stops in turn")
