--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -19,7 +19,7 @@
 from ramppost.policy.fatal import FATAL_START_ENDS, JUST_BEGUN
 from ramppost.wire.client import CallFailed
 from tests.harness.gateways import STREAM
-from tests.test_gateway_state import SETTINGS, ask, entry, take
+from tests.test_gateway_state import SETTINGS, admit_request, entry, set_config
 
 EXIT_S = 0.03
 """How long the box still accepts connections."""
@@ -70,12 +70,12 @@
 
     monkeypatch.setattr("ramppost.gateway.endings.connect", connect)
     gw = Gateway(SETTINGS)
-    take(gw, 5, 1)
+    set_config(gw, 5, 1)
     gw.freshness.confirm(clock.now())
     apply_upstream_snapshot(
         gw, Snapshot([entry(f"e{number}") for number in range(FATAL_START_ENDS)], 5)
     )
-    admitted = ask(gw, STREAM)
+    admitted = admit_request(gw, STREAM)
     assert isinstance(admitted, Admitted)
     job = Job(caller_request("POST", STREAM, (), b""), admitted, clock.now())
     job.attempts = FATAL_START_ENDS
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -1,4 +1,4 @@
-"""What a gateway makes of what it follows in the store."""
+"""State that a gateway derives from the store objects it follows."""
 
 from __future__ import annotations
 
@@ -63,18 +63,18 @@
 @pytest.fixture
 def gw() -> Gateway:
     found = Gateway(SETTINGS)
-    take(found, 5, 1)
+    set_config(found, 5, 1)
     apply_upstream_snapshot(found, Snapshot([], 5))
     found.freshness.confirm(clock.now())
     return found
 
 
-def take(gw: Gateway, revision: int, version: int, **more: Any) -> None:
-    obj = StoredObject(names.CONFIG_NAME, revision, config(version, **more), None)
+def set_config(gw: Gateway, revision: int, version: int, **overrides: Any) -> None:
+    obj = StoredObject(names.CONFIG_NAME, revision, config(version, **overrides), None)
     apply_config_snapshot(gw, Snapshot([obj], revision))
 
 
-def ask(gw: Gateway, prefix: str, key: str = KEYS["kitchen"], host: str = SITE) -> Any:
+def admit_request(gw: Gateway, prefix: str, key: str = KEYS["kitchen"], host: str = SITE) -> Any:
     head = ((b"host", host.encode()), (names.API_KEY, key.encode()))
     return admit(gw, caller_request("POST", prefix + "x", head, b""))
 
@@ -84,13 +84,13 @@
     return gw.table.version
 
 
-def test_a_configuration_never_goes_back(gw: Gateway) -> None:
-    take(gw, 9, 4)
-    take(gw, 7, 3)
+def test_an_older_configuration_is_not_applied(gw: Gateway) -> None:
+    set_config(gw, 9, 4)
+    set_config(gw, 7, 3)
     assert version(gw) == 4
 
 
-def test_a_configuration_that_is_not_understood_leaves_the_last_in_force(gw: Gateway) -> None:
+def test_an_invalid_configuration_leaves_the_last_in_force(gw: Gateway) -> None:
     obj = StoredObject(names.CONFIG_NAME, 9, {"version": "broken"}, None)
     apply_config_snapshot(gw, Snapshot([obj], 9))
     assert version(gw) == 1
@@ -108,13 +108,15 @@
         (ONCE, KEYS["toll"], "other.example", "not_found"),
     ],
 )
-def test_who_is_let_in(gw: Gateway, prefix: str, key: str, host: str, code: str) -> None:
-    got = ask(gw, prefix, key, host)
+def test_admission_by_route_key_and_host(
+    gw: Gateway, prefix: str, key: str, host: str, code: str
+) -> None:
+    got = admit_request(gw, prefix, key, host)
     assert (got.code if isinstance(got, Refusal) else "") == code
 
 
 @pytest.mark.parametrize(
-    ("prefix", "key", "let_in"),
+    ("prefix", "key", "is_admitted"),
     [
         (ONCE, KEYS["toll"], False),
         (ONCE, "unknown", False),
@@ -123,12 +125,12 @@
         (OPEN, KEYS["toll"], False),
     ],
 )
-def test_a_stale_configuration_refuses_nothing_for_good(
-    gw: Gateway, prefix: str, key: str, let_in: bool
+def test_a_stale_configuration_causes_no_permanent_refusal(
+    gw: Gateway, prefix: str, key: str, is_admitted: bool
 ) -> None:
     gw.freshness.max_age_s = 0
-    got = ask(gw, prefix, key)
-    if let_in:
+    got = admit_request(gw, prefix, key)
+    if is_admitted:
         assert isinstance(got, Admitted)
     else:
         assert (got.code, got.status, got.ran) == ("not_ready", 503, "no")
@@ -138,23 +140,25 @@
 @pytest.mark.parametrize(
     ("late_s", "code"), [(-0.3, "not_found"), (0.3, "not_ready")], ids=["in time", "late"]
 )
-def test_nothing_is_refused_for_good_by_what_may_have_been_replaced_long_enough_ago(
+def test_a_route_list_that_may_be_outdated_causes_no_permanent_refusal(
     gw: Gateway, late_s: float, code: str
 ) -> None:
-    """A gateway that had lost its relay and the store answered 404 for a route that had been
-    confirmed and had to be in force by then: until its keys were too old, 4.7 s after its last
-    word from the store, where routes must be in force after 2 s."""
+    """A gateway cut off from its relay and the store answered 404 for a route that had been
+    confirmed and had to be in force by then.  It did so until its keys were too old, 4.7 s after
+    its last confirmation by the store, while routes must be in force after 2 s."""
     gw.freshness = Freshness(gw.freshness.max_age_s)
     apply_s = gw.cfg["timing"]["config_apply_ms"] / 1000
     gw.freshness.confirm(clock.now() - apply_s - late_s)
-    got = ask(gw, "/nowhere/")
+    got = admit_request(gw, "/nowhere/")
     assert isinstance(got, Refusal)
     assert got.code == code
-    assert isinstance(ask(gw, ONCE, KEYS["toll"]), Admitted), "keys have a bound of their own"
+    assert isinstance(admit_request(gw, ONCE, KEYS["toll"]), Admitted), (
+        "keys have an age limit of their own"
+    )
 
 
-def test_without_a_configuration_nothing_is_refused_for_good() -> None:
-    got = ask(Gateway(SETTINGS), "/nowhere/")
+def test_a_missing_configuration_causes_no_permanent_refusal() -> None:
+    got = admit_request(Gateway(SETTINGS), "/nowhere/")
     assert (got.code, got.status) == ("not_ready", 503)
 
 
@@ -162,27 +166,27 @@
     ("refusing", "refused"),
     [("none", set()), ("streams", {STREAM}), ("all", {STREAM, ONCE, OPEN})],
 )
-def test_a_stopping_gateway_refuses_what_may_outlast_it(
+def test_a_stopping_gateway_refuses_requests_that_may_outlast_it(
     gw: Gateway, refusing: Any, refused: set[str]
 ) -> None:
     gw.refusal_scope = refusing
     for prefix in (STREAM, ONCE, OPEN):
-        got = ask(gw, prefix)
+        got = admit_request(gw, prefix)
         assert isinstance(got, Refusal) == (prefix in refused)
         if isinstance(got, Refusal):
             assert (got.code, got.ran, got.retry_after_s > 0) == ("leaving", "no", True)
 
 
-def test_one_question_serves_the_choice_of_a_model_and_its_first_attempt(
+def test_one_backlog_query_serves_the_model_choice_and_the_first_attempt(
     gw: Gateway, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    asked: list[str] = []
+    queried_models: list[str] = []
 
-    async def ask(engines: list[Any], question: BacklogQuery) -> dict[str, BacklogEstimate]:
-        asked.append(question.model)
+    async def record_query(engines: list[Any], query: BacklogQuery) -> dict[str, BacklogEstimate]:
+        queried_models.append(query.model)
         return {engine.id: BacklogEstimate(0.0, 0, True) for engine in engines}
 
-    monkeypatch.setattr(gw.backlogs, "ask", ask)
+    monkeypatch.setattr(gw.backlogs, "ask", record_query)
     apply_upstream_snapshot(gw, Snapshot([entry("a"), entry("b")], 6))
     head = ((b"host", SITE.encode()), (names.API_KEY, KEYS["kitchen"].encode()))
     head = (*head, (names.TOKEN_COUNTS, b"100,40"), (names.PROMPT_PARTS, b"aa:60,bb:40"))
@@ -192,21 +196,21 @@
     job = Job(req, admitted, clock.now())
     for model in ("small", "large", "large"):
         curio.run(query_backlogs, gw, job, "lm", model)
-    assert asked == ["small", "large"]
+    assert queried_models == ["small", "large"]
     job.tried_upstreams.add("a")
     curio.run(query_backlogs, gw, job, "lm", "large")
-    assert asked == ["small", "large", "large"], "another try asks again"
+    assert queried_models == ["small", "large", "large"], "another attempt queries again"
 
 
-def test_a_key_is_checked_after_keepers_were_asked(
+def test_a_key_is_checked_again_after_the_backlog_query(
     gw: Gateway, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A process that is frozen while it asks must not send by a configuration that grew old."""
+    """A process suspended during the query must not send by a configuration that became stale."""
 
-    async def frozen(gw: Gateway, *_: Any) -> None:
+    async def suspend(gw: Gateway, *_: Any) -> None:
         gw.freshness.max_age_s = 0
 
-    monkeypatch.setattr("ramppost.gateway.serve.query_backlogs", frozen)
+    monkeypatch.setattr("ramppost.gateway.serve.query_backlogs", suspend)
     apply_upstream_snapshot(gw, Snapshot([entry("a")], 6))
     head = ((b"host", SITE.encode()), (names.API_KEY, KEYS["kitchen"].encode()))
     req = caller_request("POST", STREAM + "x", head, b"")
@@ -218,7 +222,7 @@
     assert (got.code, got.ran, job.tried_upstreams) == ("not_ready", "no", set())
 
 
-def stopping(gw: Gateway, back_in_s: float) -> Gateway:
+def start_stopping(gw: Gateway, back_in_s: float) -> Gateway:
     gw.refusal_scope = "all"
     gw.resume_at = clock.now() + back_in_s
     gw.peers.put("gateway-2", "127.0.0.1:9", "bole")
@@ -227,24 +231,24 @@
 
 
 def test_a_stopping_gateway_sends_callers_to_the_others_at_once(gw: Gateway) -> None:
-    stopping(gw, 5.0)
+    start_stopping(gw, 5.0)
     handle_leaving_note(gw, LeavingNote(name="gateway-2", back_ms=3000))
-    got = ask(gw, STREAM)
+    got = admit_request(gw, STREAM)
     assert (got.code, got.retry_after_s) == ("leaving", IMMEDIATE_RETRY_S)
 
 
-def test_where_all_gateways_stop_callers_are_told_when_the_first_is_back(gw: Gateway) -> None:
-    stopping(gw, 5.0)
+def test_if_all_gateways_stop_retry_after_is_the_first_return(gw: Gateway) -> None:
+    start_stopping(gw, 5.0)
     for name, back_ms in (("gateway-2", 3000), ("gateway-3", 4000)):
         handle_leaving_note(gw, LeavingNote(name=name, back_ms=back_ms))
-    assert ask(gw, STREAM).retry_after_s == pytest.approx(3.0, abs=0.1)
+    assert admit_request(gw, STREAM).retry_after_s == pytest.approx(3.0, abs=0.1)
 
 
-def test_a_gateway_that_should_be_back_is_taken_for_back(gw: Gateway) -> None:
-    stopping(gw, 5.0)
+def test_a_gateway_past_its_return_time_counts_as_back(gw: Gateway) -> None:
+    start_stopping(gw, 5.0)
     handle_leaving_note(gw, LeavingNote(name="gateway-2", back_ms=0))
     handle_leaving_note(gw, LeavingNote(name="gateway-3", back_ms=4000))
-    assert ask(gw, STREAM).retry_after_s == IMMEDIATE_RETRY_S
+    assert admit_request(gw, STREAM).retry_after_s == IMMEDIATE_RETRY_S
 
 
 def entry(name: str, state: str = "ready") -> StoredObject:
@@ -263,7 +267,7 @@
     return {u.id for u in gw.members.usable("lm", clock.now())}
 
 
-def test_removals_of_all_may_be_lapses(gw: Gateway) -> None:
+def test_removal_of_all_upstreams_is_treated_as_expiry(gw: Gateway) -> None:
     apply_upstream_snapshot(gw, Snapshot([entry("a"), entry("b")], 6))
     apply_upstream_change(gw, Change(entry("a"), True))
     assert usable(gw) == {"b"}
@@ -279,7 +283,7 @@
     assert usable(gw) == {"b"}
 
 
-def test_a_configuration_that_is_not_understood_is_not_confirmed(gw: Gateway) -> None:
+def test_an_invalid_configuration_is_not_confirmed(gw: Gateway) -> None:
     gw.freshness = Freshness(5.0)
     confirm_config(gw, clock.now())
     assert gw.freshness.ever_confirmed
@@ -291,7 +295,7 @@
     assert not gw.freshness.ever_confirmed
 
 
-def versioned(name: str, version: str) -> StoredObject:
+def entry_of_version(name: str, version: str) -> StoredObject:
     obj = entry(name)
     return obj._replace(spec=obj.spec | {"version": version})
 
@@ -300,13 +304,17 @@
     ("failed", "chosen"),
     [(set(), {"new-1", "new-2"}), ({"v2"}, {"old"}), ({"v1", "v2"}, {"new-2"})],
 )
-def test_a_failure_of_a_version_on_trial_is_tried_again_on_the_other(
+def test_a_failed_attempt_on_a_trial_version_is_retried_on_the_other(
     gw: Gateway, failed: set[str], chosen: set[str]
 ) -> None:
-    listed = [versioned("old", "v1"), versioned("new-1", "v2"), versioned("new-2", "v2")]
+    listed = [
+        entry_of_version("old", "v1"),
+        entry_of_version("new-1", "v2"),
+        entry_of_version("new-2", "v2"),
+    ]
     apply_upstream_snapshot(gw, Snapshot(listed, 6))
     gw.rollouts.update(RolloutOrder("lm", "v2", 10.0, "ordered", 6), clock.now() - 8)
-    admitted = ask(gw, STREAM)
+    admitted = admit_request(gw, STREAM)
     assert isinstance(admitted, Admitted)
     job = Job(caller_request("POST", STREAM, (), b""), admitted, clock.now())
     job.failed_versions = failed
@@ -315,8 +323,8 @@
     assert found is not None and found.upstream.id in chosen
 
 
-def test_only_a_run_to_a_good_end_shows_that_a_request_is_harmless(gw: Gateway) -> None:
-    """An engine's 504 after its time in the queue came whole, and cleared what ended engines."""
+def test_only_a_successful_run_shows_that_a_request_is_harmless(gw: Gateway) -> None:
+    """A complete 504 of an engine, after a queue timeout, used to clear a fatal request."""
     for number in range(FATAL_START_ENDS):
         curio.run(gw.fatal.record_end, f"e{number}", "it", JUST_BEGUN)
     for status in (504, 500, 400, 200):
@@ -325,7 +333,7 @@
     assert not gw.fatal.is_fatal("it")
 
 
-def stored_fatal(count: int, certain: bool) -> StoredObject:
+def fatal_document(count: int, certain: bool) -> StoredObject:
     requests = [
         {"fingerprint": f"r{number}", "at": int(time.time()), "certain": certain, "upstreams": []}
         for number in range(count)
@@ -333,30 +341,30 @@
     return StoredObject(FATAL_NAME, 7, {"requests": requests}, None)
 
 
-def test_a_document_of_fatal_requests_is_taken_in_up_to_its_bound(gw: Gateway) -> None:
-    fatal_listed(gw, Snapshot([stored_fatal(3 * MAX_FATAL, True)], 7))
+def test_a_document_of_fatal_requests_is_read_up_to_its_limit(gw: Gateway) -> None:
+    fatal_listed(gw, Snapshot([fatal_document(3 * MAX_FATAL, True)], 7))
     assert len(gw.fatal.published) == MAX_FATAL
     assert gw.fatal.is_fatal(f"r{3 * MAX_FATAL - 1}")
 
 
-def test_a_document_that_is_not_understood_changes_nothing(gw: Gateway) -> None:
-    fatal_listed(gw, Snapshot([stored_fatal(1, True)], 7))
+def test_an_invalid_document_of_fatal_requests_is_ignored(gw: Gateway) -> None:
+    fatal_listed(gw, Snapshot([fatal_document(1, True)], 7))
     fatal_changed(gw, Change(StoredObject(FATAL_NAME, 8, {"requests": "junk"}, None), False))
     assert gw.fatal.is_fatal("r0")
 
 
-def test_an_operator_lets_all_run_again_by_removing_the_document(gw: Gateway) -> None:
-    fatal_listed(gw, Snapshot([stored_fatal(1, True)], 7))
+def test_removing_the_document_clears_all_fatal_requests(gw: Gateway) -> None:
+    fatal_listed(gw, Snapshot([fatal_document(1, True)], 7))
     for number in range(FATAL_START_ENDS):
         curio.run(gw.fatal.record_end, f"e{number}", "it", JUST_BEGUN)
     assert gw.fatal.is_fatal("r0") and gw.fatal.is_fatal("it")
-    fatal_changed(gw, Change(stored_fatal(1, True), True))
+    fatal_changed(gw, Change(fatal_document(1, True), True))
     assert not gw.fatal.is_fatal("r0")
     assert not gw.fatal.is_fatal("it")
 
 
-def test_one_end_more_makes_certain_what_others_have_seen(gw: Gateway) -> None:
-    obj = stored_fatal(1, False)
+def test_one_more_crash_confirms_a_request_suspected_by_others(gw: Gateway) -> None:
+    obj = fatal_document(1, False)
     obj.spec["requests"][0]["upstreams"] = ["e1", "e2"]
     fatal_listed(gw, Snapshot([obj], 7))
     assert not gw.fatal.is_fatal("r0")
@@ -365,8 +373,8 @@
     assert gw.fatal.unpublished["r0"]["certain"]
 
 
-def test_what_is_answered_well_leaves_the_document(gw: Gateway) -> None:
-    obj = stored_fatal(1, False)
+def test_a_successfully_answered_request_leaves_the_document(gw: Gateway) -> None:
+    obj = fatal_document(1, False)
     obj.spec["requests"][0]["upstreams"] = ["e1", "e2"]
     fatal_listed(gw, Snapshot([obj], 7))
     gw.fatal.record_answer("r0", 200)
@@ -375,9 +383,9 @@
     assert gw.fatal.cleared == {"r0"}
 
 
-def test_a_list_without_the_document_lets_all_run_again(gw: Gateway) -> None:
-    """A gateway that was away as the document was removed reads a list and no removal."""
-    fatal_listed(gw, Snapshot([stored_fatal(1, True)], 7))
+def test_a_list_without_the_document_clears_all_fatal_requests(gw: Gateway) -> None:
+    """A gateway that was disconnected during the removal sees a list and no removal event."""
+    fatal_listed(gw, Snapshot([fatal_document(1, True)], 7))
     for number in range(FATAL_START_ENDS):
         curio.run(gw.fatal.record_end, f"e{number}", "it", JUST_BEGUN)
     fatal_listed(gw, Snapshot([], 9))
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -31,7 +31,7 @@
 from ramppost.platform.store import Snapshot
 from ramppost.schema.messages import FeedMark, FeedQuery
 from tests.harness.gateways import KEYS, OPEN, SAFE, SITE, STREAM
-from tests.test_gateway_state import SETTINGS, ask, entry, take
+from tests.test_gateway_state import SETTINGS, admit_request, entry, set_config
 
 SUSPENDED_S = 10.0
 Suspend = Callable[[], None]
@@ -58,7 +58,7 @@
 def gw(suspend: Suspend) -> Gateway:
     """A gateway with a configuration that has just been confirmed."""
     found = Gateway(SETTINGS)
-    take(found, 5, 1)
+    set_config(found, 5, 1)
     return found
 
 
@@ -72,14 +72,14 @@
 def test_key_is_refused_on_confirmation_before_suspension(gw: Gateway, suspend: Suspend) -> None:
     gw.members_listed = True
     gw.freshness.confirm(clock.now())
-    assert isinstance(ask(gw, SAFE), Admitted)
+    assert isinstance(admit_request(gw, SAFE), Admitted)
     assert gw.ready
     suspend()
-    got = ask(gw, SAFE)
+    got = admit_request(gw, SAFE)
     assert isinstance(got, Refusal) and got.code == "not_ready"
-    unknown = ask(gw, SAFE, "unknown")
+    unknown = admit_request(gw, SAFE, "unknown")
     assert isinstance(unknown, Refusal) and unknown.code == "not_ready"
-    assert isinstance(ask(gw, OPEN, KEYS["toll"]), Refusal)
+    assert isinstance(admit_request(gw, OPEN, KEYS["toll"]), Refusal)
     assert not gw.ready
 
 
@@ -144,7 +144,7 @@
     monkeypatch.setattr("ramppost.gateway.links.connect", connect)
     apply_upstream_snapshot(gw, Snapshot([entry("a")], 6))
     gw.freshness.confirm(clock.now())
-    admitted = ask(gw, STREAM)
+    admitted = admit_request(gw, STREAM)
     assert isinstance(admitted, Admitted)
     head = ((b"host", SITE.encode()),)
     job = Job(caller_request("POST", STREAM, head, b""), admitted, clock.now())
