--- a/tests/test_gateway_feed.py
+++ b/tests/test_gateway_feed.py
@@ -32,10 +32,10 @@
         self.relay, self.asker = gateway(RELAY), gateway(ASKER)
         self.port = free_port()
         self.applied: list[str] = []
-        for gw, taken in ((self.relay, []), (self.asker, self.applied)):
+        for gw, applied in ((self.relay, []), (self.asker, self.applied)):
             for kind in (URGENT, OTHER):
                 gw.replicas[kind] = KindReplica(
-                    kind, recording_handlers(taken), gw.updates, kind == URGENT
+                    kind, recording_handlers(applied), gw.updates, kind == URGENT
                 )
         # The hash of the names makes the first one the relay.
         self.asker.peers.put(RELAY, f"127.0.0.1:{self.port}")
@@ -57,10 +57,10 @@
         await followed.apply_changes(since, changes, clock.now())
 
 
-def recording_handlers(taken: list[str]) -> Handlers:
+def recording_handlers(applied: list[str]) -> Handlers:
     return Handlers(
-        lambda snapshot: taken.append(f"all {len(snapshot.objects)}"),
-        lambda change: taken.append(f"{change.obj.name}{' gone' if change.removed else ''}"),
+        lambda snapshot: applied.append(f"all {len(snapshot.objects)}"),
+        lambda change: applied.append(f"{change.obj.name}{' gone' if change.removed else ''}"),
         lambda at: None,
     )
 
@@ -74,17 +74,17 @@
     return StoredObject(name, revision, {"x": 1}, {"state": "there"})
 
 
-def run_scenario(scene: Callable[[Pair], Awaitable[Any]]) -> Any:
+def run_scenario(scenario: Callable[[Pair], Awaitable[Any]]) -> Any:
     async def run() -> Any:
         pair = Pair()
         await pair.start()
-        return await scene(pair)
+        return await scenario(pair)
 
     return curio.run(run)
 
 
 def test_change_is_fed_at_once() -> None:
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         await pair.apply_snapshots(5)
         pair.applied.clear()
         began = clock.now()
@@ -96,11 +96,11 @@
         assert pair.applied == ["b gone"]
         assert pair.asker.replicas[OTHER].revision == 6
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_new_confirmation_is_fed_at_once() -> None:
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         await pair.apply_snapshots(5)
         polling = await curio.spawn(poll_once, pair.asker, RELAY)
         await curio.sleep(0.2)
@@ -108,11 +108,11 @@
         assert await polling.join()
         assert pair.asker.feed_valid_until > clock.now()
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_confirmation_age_is_never_underestimated() -> None:
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         await pair.apply_snapshots(5, age_s=1.0)
         confirmed_at = clock.now() - 0.3
         await pair.relay.replicas[URGENT].apply_changes(5, Changes([], 5), confirmed_at)
@@ -120,35 +120,35 @@
         taken_at = pair.asker.replicas[URGENT].confirmed_at
         assert confirmed_at - 0.2 <= taken_at <= confirmed_at
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_lagging_relay_is_no_valid_feed() -> None:
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         await pair.apply_snapshots(5, age_s=stale_after_s(pair.asker) + 1)
         await pair.change(OTHER, "b")
         assert not await poll_once(pair.asker, RELAY)
         assert pair.asker.feed_valid_until < clock.now()
         assert pair.applied[-1] == "b", "its changes are applied all the same"
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_relay_without_new_confirmation_is_no_valid_feed() -> None:
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         await pair.apply_snapshots(5)
         began = clock.now()
         assert not await poll_once(pair.asker, RELAY)
         assert clock.now() - began >= feed_wait_s(pair.asker)
         assert pair.asker.peers.alive(clock.now()) == []
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_partitioned_relay_keeps_polling_its_followers() -> None:
     """They lag as much until they detect the outage, and then have fresher data than the relay."""
 
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         await pair.apply_snapshots(5, age_s=stale_after_s(pair.relay) + 1)
         port = free_port()
         await curio.spawn(serve, listen("127.0.0.1", port), feed_handler(pair.asker), daemon=True)
@@ -159,23 +159,23 @@
         await poll_once(pair.relay, ASKER)
         assert clock.now() - pair.relay.replicas[URGENT].confirmed_at < stale_after_s(pair.relay)
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_echoed_confirmation_is_no_valid_feed() -> None:
     """A relay without the store polls its follower and then returns the same data to it."""
 
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         await pair.apply_snapshots(5, age_s=0.5)
         await pair.change(OTHER, "b")
         assert await poll_once(pair.asker, RELAY)
         assert pair.asker.feed_valid_until < clock.now()
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_older_relay_data_is_ignored() -> None:
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         await pair.apply_snapshots(5)
         now = clock.now()
         await pair.asker.replicas[URGENT].apply_snapshot(Snapshot([], 9), now)
@@ -184,15 +184,15 @@
         assert pair.asker.replicas[URGENT].revision == 9
         assert pair.asker.replicas[URGENT].confirmed_at == now
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_relay_without_data_confirms_nothing() -> None:
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         assert not await poll_once(pair.asker, RELAY)
         assert pair.asker.replicas[URGENT].confirmed_at == float("-inf")
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_unconfirmed_snapshot_is_applied_once() -> None:
@@ -200,7 +200,7 @@
     reason, requested it again and got it again at once: with 300 upstreams the busiest gateway sent
     1 MB/s, and with 3,000 the processes ran out of time."""
 
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         await pair.apply_snapshots(5)
         await pair.relay.replicas[OTHER].apply_snapshot(Snapshot([obj("b", 7)], 7), float("-inf"))
         pair.relay.replicas[OTHER].confirmed_at = float("-inf")
@@ -210,22 +210,22 @@
         await poll_once(pair.asker, RELAY)
         assert clock.now() - began >= 0.5 * feed_wait_s(pair.asker), "responded at once again"
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_gateway_without_data_gets_full_snapshots() -> None:
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         for followed in pair.relay.replicas.values():
             await followed.apply_snapshot(Snapshot([obj("a", 4), obj("b", 5)], 5), clock.now())
         assert await poll_once(pair.asker, RELAY)
         assert pair.applied == ["all 2", "all 2"]
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("answers", [True, False])
 def test_unresponsive_gateway_is_skipped(answers: bool) -> None:
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         await pair.apply_snapshots(5)
         if not answers:
             pair.asker.peers.put(RELAY, f"127.0.0.1:{free_port()}")
@@ -234,7 +234,7 @@
         assert pair.asker.peers.alive(clock.now()) == ([RELAY] if answers else [])
         assert pair.asker.peers_reachable == answers
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_hall_feed.py
+++ b/tests/test_hall_feed.py
@@ -68,7 +68,7 @@
 
 
 def test_change_is_forwarded_within_hall_at_once() -> None:
-    async def scene() -> float:
+    async def scenario() -> float:
         relay, forwarder, follower = feed_chain()
         await serve_internal(relay, follower)
         await serve_internal(forwarder, follower)
@@ -87,7 +87,7 @@
         await end_all()
         return took_s
 
-    took_s: Any = curio.run(scene)
+    took_s: Any = curio.run(scenario)
     assert took_s < 0.3
 
 
@@ -106,7 +106,7 @@
 def test_silent_hall_forwarder_is_abandoned_in_time() -> None:
     """It accepts the poll and never responds."""
 
-    async def scene() -> float:
+    async def scenario() -> float:
         _, forwarder, follower = feed_chain()
         port = int(follower.peers.addrs[forwarder.cfg["name"]].rpartition(":")[2])
 
@@ -123,5 +123,5 @@
         )
         return clock.now() - began
 
-    took_s: Any = curio.run(scene)
+    took_s: Any = curio.run(scenario)
     assert took_s < SETTINGS["timing"]["upstream_leave_ms"] / 1000 - STORE_CALL_S
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -101,19 +101,19 @@
     return clock.now() - began
 
 
-def run_scenario(scene: Callable[[Store], Awaitable[Any]]) -> Any:
+def run_scenario(scenario: Callable[[Store], Awaitable[Any]]) -> Any:
     async def run() -> Any:
         store = Store()
         await curio.spawn(serve, listen("127.0.0.1", store.port), store.handle, daemon=True)
         try:
-            return await scene(store)
+            return await scenario(store)
         finally:
             await end_all()
 
     return curio.run(run)
 
 
-def run_unstalled(scene: Callable[[Store], Awaitable[Any]]) -> None:
+def run_unstalled(scenario: Callable[[Store], Awaitable[Any]]) -> None:
     """Run a scenario whose gateways share this process, and repeat it if the process stalled.
 
     Under load the process once stalled for 0.225 s: all twelve gateways timed out on their peers
@@ -124,16 +124,16 @@
     for _ in range(MAX_RUNS):
         pauses = [0.0]
 
-        async def watched_scene(store: Store, pauses: list[float] = pauses) -> None:
+        async def watched_scenario(store: Store, pauses: list[float] = pauses) -> None:
             await curio.spawn(_record_pauses, pauses, daemon=True)
             try:
-                await scene(store)
+                await scenario(store)
             except AssertionError:
                 if max(pauses) < MIN_START_HOLD_S / 2:
                     raise
                 pauses.append(float("inf"))
 
-        run_scenario(watched_scene)
+        run_scenario(watched_scenario)
         if max(pauses) < MIN_START_HOLD_S / 2:
             return
     raise AssertionError(f"this process stalled in each of {MAX_RUNS} runs")
@@ -163,7 +163,7 @@
 
 
 def test_start_with_peers_reads_one_stale_list() -> None:
-    async def scene(store: Store) -> None:
+    async def scenario(store: Store) -> None:
         relay, other = fleet(store, 2)
         put_gateway_entries(store, [relay, other])
         await start_gateway(relay)
@@ -177,11 +177,11 @@
         assert own_calls == {f"stale GET {GATEWAY_KIND}": 1}
         assert took_s < 0.3
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_unlisted_gateway_creates_its_entry() -> None:
-    async def scene(store: Store) -> None:
+    async def scenario(store: Store) -> None:
         relay, other = fleet(store, 2)
         put_gateway_entries(store, [relay])
         await start_gateway(relay)
@@ -189,12 +189,12 @@
         await curio.sleep(0.05)
         assert store.objects[GATEWAY_KIND][other.cfg["name"]] == own_entry(other)
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("size", [4, 12])
 def test_simultaneous_restarts_are_fed_by_relay(size: int) -> None:
-    async def scene(store: Store) -> None:
+    async def scenario(store: Store) -> None:
         gws = fleet(store, size)
         put_gateway_entries(store, gws)
         tasks = [await curio.spawn(start_gateway, gw) for gw in gws]
@@ -203,11 +203,11 @@
         assert lists <= 6, store.calls
         assert max(times) < 0.7
 
-    run_unstalled(scene)
+    run_unstalled(scenario)
 
 
 def test_new_fleet_creates_entries_before_reading() -> None:
-    async def scene(store: Store) -> None:
+    async def scenario(store: Store) -> None:
         gws = [gateway(store, f"g{number}") for number in range(8)]
         tasks = [await curio.spawn(start_gateway, gw) for gw in gws]
         for task in tasks:
@@ -216,23 +216,23 @@
         assert store.calls[f"POST {GATEWAY_KIND}"] == 8
         assert lists <= 6, store.calls
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_start_with_dead_peers_reads_store_soon() -> None:
-    async def scene(store: Store) -> None:
+    async def scenario(store: Store) -> None:
         gws = fleet(store, 4)
         put_gateway_entries(store, gws)
         assert await start_gateway(gws[-1]) < 1.5
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_stale_list_confirms_nothing() -> None:
     """Keys and draining upstreams are only confirmed by fresh reads or by peers that made such
     reads."""
 
-    async def scene(store: Store) -> None:
+    async def scenario(store: Store) -> None:
         gw = gateway(store, "g0")
         put_gateway_entries(store, [gw])
         await start_gateway(gw)
@@ -240,11 +240,11 @@
         assert stale == [f"stale GET {GATEWAY_KIND}"]
         assert gw.replicas[GATEWAY_KIND].confirmed_at == float("-inf")
 
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_start_during_store_outage_is_fed_by_peers() -> None:
-    async def scene(store: Store) -> None:
+    async def scenario(store: Store) -> None:
         relay, other = fleet(store, 2)
         put_gateway_entries(store, [relay, other])
         await start_gateway(relay)
@@ -258,4 +258,4 @@
         assert other.members_listed and other.table is not None
         await listed.cancel()
 
-    run_scenario(scene)
+    run_scenario(scenario)
--- a/tests/test_large_config.py
+++ b/tests/test_large_config.py
@@ -166,7 +166,7 @@
 def test_sending_large_body_waits_for_slow_reader() -> None:
     """Confirming a large configuration over a slow link includes sending all of it."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         # A small buffer, so that the sender blocks on the reader.
         sock = curio.network.tcp_server_socket(HOST, 0)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16384)
@@ -178,7 +178,7 @@
         assert isinstance(got, Response) and got.status == 200
         assert clock.now() - began > 1.5, "longer than the timeout for the start"
 
-    curio.run(scene)
+    curio.run(scenario)
 
 
 def test_follower_waits_for_relay_reading_large_object(pair: SlowLinkSite) -> None:
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -93,21 +93,21 @@
     treats as a programming error: the task that follows the store died with `Uncaught timeout
     received`, and its gateway refused requests with keys from then on."""
 
-    async def scene() -> Any:
+    async def scenario() -> Any:
         sock = curio.network.tcp_server_socket(HOST, 0)
         addr = f"{HOST}:{sock.getsockname()[1]}"
         await curio.spawn(curio.network.run_server, sock, serve_partial_response, daemon=True)
         return await fetch(Pool(), addr, "GET", "/", timeout_s=1.0)
 
     began = clock.now()
-    got = curio.run(scene)
+    got = curio.run(scenario)
     assert isinstance(got, CallFailed)
     assert got.sent and "1 of 2 bytes read" in got.reason
     assert STALL_TIMEOUT_S <= clock.now() - began < 2 * STALL_TIMEOUT_S
 
 
 def test_silent_pooled_connection_discards_all_pooled_ones() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         sock = curio.network.tcp_server_socket(HOST, 0)
         addr = f"{HOST}:{sock.getsockname()[1]}"
         await curio.spawn(curio.network.run_server, sock, serve_one_response, daemon=True)
@@ -118,4 +118,4 @@
         assert isinstance(await call(pool, addr, "GET", "/", timeout_s=0.3), CallFailed)
         assert isinstance(await call(pool, addr, "GET", "/", timeout_s=0.3), Response)
 
-    curio.run(scene)
+    curio.run(scenario)
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -84,7 +84,7 @@
 
 
 def test_reported_age_includes_suspended_time(gw: Gateway, suspend: Suspend) -> None:
-    async def scene() -> float:
+    async def scenario() -> float:
         unused = Handlers(lambda snapshot: None, lambda change: None, lambda at: None)
         for kind in (names.CONFIG_KIND, names.UPSTREAM_KIND):
             await watch_kind(gw, kind, unused, 1.0, 1e6, urgent=True)
@@ -94,7 +94,7 @@
         msg = await _answer(gw, FeedQuery(wait_ms=0, kinds=marks))
         return msg["kinds"][0]["age_ms"] / 1000
 
-    assert curio.run(scene) >= SUSPENDED_S
+    assert curio.run(scenario) >= SUSPENDED_S
 
 
 def test_no_age_is_taken_from_a_clock_that_stands() -> None:
--- a/tests/test_unframed_ends.py
+++ b/tests/test_unframed_ends.py
@@ -63,13 +63,13 @@
     The upstream applies `end` to the request, and appends its number to `ran` if it got one.
     """
 
-    def play(conn: socket.socket, _: int) -> None:
+    def serve_and_end(conn: socket.socket, _: int) -> None:
         if read_request(conn):
             ran.append(number)
             end(peer, conn)
 
     name = f"raw-{number}"
-    peer = Peer(play)
+    peer = Peer(serve_and_end)
     site.put_entry(name, "raw", peer.addr)
     time.sleep(PROPAGATION_S)
     got = send_request(site, site.gateways[number % 2])
