--- a/ramppost/platform/objects.py
+++ b/ramppost/platform/objects.py
@@ -97,7 +97,7 @@
         return True
 
 
-OVER_BUDGET: Final = Unavailable("budget of object API calls exhausted", False, True)
+OVER_BUDGET: Final = Unavailable("budget of object API calls used up", False, True)
 STATUS_TOO_MANY_REQUESTS: Final = 429
 
 
--- a/ramppost/platform/store.py
+++ b/ramppost/platform/store.py
@@ -155,7 +155,7 @@
         if not page["truncated"] or not page["items"]:
             return Snapshot(objects, first_revision)
         if not page_objects:
-            return Unavailable(f"no object with a name to continue from in a page of {kind}", False)
+            return Unavailable(f"no name to go on from in {kind}", False)
         after = page_objects[-1].name
     return Unavailable(f"more than {MAX_PAGES} pages of {kind}", False)
 
