--- a/tests/test_hall_feed.py
+++ b/tests/test_hall_feed.py
@@ -1,10 +1,10 @@
 """Updates that a gateway receives through another gateway of its data hall, which may go silent.
 
 Open connections between gateways, to the store and to upstreams may stop delivering data without a
-reset.  In a fleet with one forwarding gateway per hall, updates pass two gateways, either of which
-may go silent.  A follower of its hall's forwarder waits longer than the forwarder does, so that the
-forwarder can read the store in the meantime, and still reads the store itself within the limit for
-learning that an upstream is draining.
+reset.  In a fleet with one distributor per hall, updates pass two gateways, either of which may go
+silent.  A follower of its hall's distributor waits longer than the distributor does, so that the
+distributor can read the store in the meantime, and still reads the store itself within the limit
+for learning that an upstream is draining.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 KIND = "urgent"
 FLEET_SIZE = 24
-"""Size of the fleet that each gateway knows: enough for forwarding within halls."""
+"""Size of the fleet that each gateway knows: enough for distributors."""
 STORE_CALL_S = 0.1
 """Ample time for a store response on a new connection."""
 
@@ -45,7 +45,7 @@
 
 
 def feed_chain(leave_ms: int = 2000) -> list[Gateway]:
-    """Return a relay, the forwarder of a hall and a follower of it, which know each other."""
+    """Return a relay, the distributor of a hall and a follower of it, which know each other."""
     names = [f"g{number}" for number in range(FLEET_SIZE)]
     ports = {name: free_port() for name in names}
     by_depth: dict[int, Gateway] = {}
@@ -69,12 +69,12 @@
 
 def test_change_is_forwarded_within_hall_at_once() -> None:
     async def scenario() -> float:
-        relay, forwarder, follower = feed_chain()
+        relay, distributor, follower = feed_chain()
         await serve_internal(relay, follower)
-        await serve_internal(forwarder, follower)
-        for gw in (relay, forwarder, follower):
+        await serve_internal(distributor, follower)
+        for gw in (relay, distributor, follower):
             await gw.replicas[KIND].apply_snapshot(Snapshot([], 5), clock.now())
-        for gw in (forwarder, follower):
+        for gw in (distributor, follower):
             await curio.spawn(subscribe, gw, daemon=True)
         await curio.sleep(0.3)
         obj = StoredObject("a", 6, {}, None)
@@ -95,20 +95,20 @@
 def test_hall_follower_reads_store_within_leave_limit(
     leave_ms: int,
 ) -> None:
-    relay, forwarder, follower = feed_chain(leave_ms)
-    waits_s = [feed_wait_s(gw) for gw in (relay, forwarder, follower)]
+    relay, distributor, follower = feed_chain(leave_ms)
+    waits_s = [feed_wait_s(gw) for gw in (relay, distributor, follower)]
     noticed_s = feed_wait_s(follower) + ANSWER_SLACK_S + FEED_GRACE_S
     assert noticed_s + STORE_CALL_S < leave_ms / 1000
     assert waits_s[2] > waits_s[1] + ANSWER_SLACK_S + STORE_CALL_S / 2
-    assert stale_after_s(follower) > stale_after_s(forwarder)
+    assert stale_after_s(follower) > stale_after_s(distributor)
 
 
-def test_silent_hall_forwarder_is_abandoned_in_time() -> None:
+def test_silent_hall_distributor_is_abandoned_in_time() -> None:
     """It accepts the poll and never responds."""
 
     async def scenario() -> float:
-        _, forwarder, follower = feed_chain()
-        port = int(follower.peers.addrs[forwarder.cfg["name"]].rpartition(":")[2])
+        _, distributor, follower = feed_chain()
+        port = int(follower.peers.addrs[distributor.cfg["name"]].rpartition(":")[2])
 
         async def silent(req: Request, reply: Reply) -> None:
             await curio.sleep(60)
@@ -116,8 +116,8 @@
         await curio.spawn(serve, listen("127.0.0.1", port), silent, daemon=True)
         await follower.replicas[KIND].apply_snapshot(Snapshot([], 5), clock.now())
         began = clock.now()
-        assert not await poll_once(follower, forwarder.cfg["name"])
-        assert forwarder.cfg["name"] not in follower.peers.alive(clock.now())
+        assert not await poll_once(follower, distributor.cfg["name"])
+        assert distributor.cfg["name"] not in follower.peers.alive(clock.now())
         assert follower.store.pool.idle_connections == {}, (
             "other open connections may be silent as well"
         )
